--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,5 +1,6 @@
 //! Actions: what the balancer requests from its host.
 
+use crate::event::Outcome;
 use crate::ids::{AttemptNumber, BackendId, RequestId, TimerToken};
 use crate::time::Micros;
 
@@ -47,6 +48,22 @@
     },
     /// Poll discovery for the endpoint list and watch it from now on.
     WatchEndpoints,
-    /// A message for the operators' log.
-    Log(String),
+    /// Write a line to the operators' log.
+    Log(LogEvent),
+}
+
+/// What the balancer reports to the operators' log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LogEvent {
+    /// A backend was ejected: it gets no requests for a while.
+    BackendEjected {
+        /// The backend.
+        backend: BackendId,
+        /// The outcome of the attempt that led to the ejection.
+        outcome: Outcome,
+    },
+    /// A poll of discovery or the watch on the endpoint list failed; the balancer will poll again.
+    WatchFailed,
+    /// A poll of discovery or the watch on the endpoint list timed out; the balancer will poll again.
+    WatchTimedOut,
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -17,7 +17,7 @@
         self.in_flight_mean.advance(now, self.in_use());
         match event {
             Event::EndpointsUpdated { update, endpoints } => {
-                self.on_endpoints(now, update, endpoints)
+                self.on_endpoints(now, update, endpoints);
             }
             Event::Request(arrival) => self.on_request(now, arrival),
             Event::StreamStarted { request, attempt } => self.record_stream(request, attempt),
@@ -65,11 +65,11 @@
             EndpointUpdate::WatchFailed => {
                 self.discovery_watch
                     .on_watch_failed(now, &self.config, self.rng.unit());
-                self.log(now, "discovery watch failed, polling again".into());
+                self.log(now, LogEvent::WatchFailed);
             }
             EndpointUpdate::WatchTimedOut => {
                 self.discovery_watch.on_watch_timed_out(now, &self.config);
-                self.log(now, "discovery watch timed out, polling again".into());
+                self.log(now, LogEvent::WatchTimedOut);
             }
             EndpointUpdate::Delta | EndpointUpdate::Snapshot => {
                 self.discovery_watch.on_endpoints_received(now);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -41,7 +41,7 @@
 mod token_bucket;
 mod zone_affinity;
 
-pub use action::Action;
+pub use action::{Action, LogEvent};
 pub use config::{Class, Config, ConfigError, DiscoveryMode, Idempotency, KeyScope, Tenant};
 pub use endpoint::{BackendState, Endpoint, EndpointUpdate};
 pub use event::{Arrival, AttemptEnd, Event, Outcome};
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -74,7 +74,7 @@
                 }
             }
             Outcome::TimedOut | Outcome::ConnectFailed => {
-                self.eject(now, attempt.backend, end.outcome)
+                self.eject(now, attempt.backend, end.outcome);
             }
         }
     }
@@ -103,7 +103,13 @@
             backend.consecutive_ejections += 1;
             backend.readiness = 0.0;
             self.wake_by(now + self.config.tick);
-            self.log(now, format!("backend {} ejected: {reason:?}", id.0));
+            self.log(
+                now,
+                LogEvent::BackendEjected {
+                    backend: id,
+                    outcome: reason,
+                },
+            );
         }
     }
 
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -160,11 +160,11 @@
         }
     }
 
-    /// Logs a message for the operators, two per second at most.
-    pub(crate) fn log(&mut self, now: Time, message: String) {
+    /// Reports an event to the operators' log, two per second at most.
+    pub(crate) fn log(&mut self, now: Time, event: LogEvent) {
         if now >= self.next_log_at {
             self.next_log_at = now + LOG_INTERVAL;
-            self.actions.push(Action::Log(message));
+            self.actions.push(Action::Log(event));
         }
     }
 
--- a/crates/balancer/tests/common/test_host.rs
+++ b/crates/balancer/tests/common/test_host.rs
@@ -41,8 +41,8 @@
     pub idle_connection_limit: u32,
     /// Attempts that the balancer has cancelled and whose end is still to be reported.
     pub cancelled: Vec<(RequestId, usize)>,
-    /// The log messages so far.
-    pub logs: Vec<String>,
+    /// What the balancer has reported to the log so far.
+    pub logs: Vec<LogEvent>,
     /// The actions that the last event caused.
     pub last_actions: Vec<Action>,
     /// Whether new requests are marked as a client's retries.
@@ -376,7 +376,7 @@
                 );
                 self.polls += 1;
             }
-            Action::Log(text) => self.logs.push(text),
+            Action::Log(event) => self.logs.push(event),
         }
     }
 
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -10,6 +10,13 @@
 /// The backend that returns errors in [`eject_faulty_backend`].
 const FAULTY: u32 = 3;
 
+fn is_ejection_of_faulty(event: &LogEvent) -> bool {
+    match event {
+        LogEvent::BackendEjected { backend, .. } => backend.0 == u64::from(FAULTY),
+        LogEvent::WatchFailed | LogEvent::WatchTimedOut => false,
+    }
+}
+
 /// Lets all attempts on one backend fail until it is ejected.
 fn eject_faulty_backend(host: &mut TestHost) {
     serve_sequentially(host, 60, |_| millis(10));
@@ -28,7 +35,7 @@
         );
         let last_attempt = host.backends_of(request).len() - 1;
         host.end_attempt(request, last_attempt, Outcome::Success);
-        if host.logs.iter().any(|message| message.contains("ejected")) {
+        if host.logs.iter().any(is_ejection_of_faulty) {
             return;
         }
     }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -12,7 +12,7 @@
 use crate::upstream::Upstream;
 use brookstack_balancer::{
     Action, Arrival, AttemptEnd, BackendId, Balancer, Config, ConfigError, EndpointUpdate, Event,
-    Micros, Outcome, RequestId, Time, TimerQueue, RESPONSE_GRACE_TICKS,
+    LogEvent, Micros, Outcome, RequestId, Time, TimerQueue, RESPONSE_GRACE_TICKS,
 };
 use in_flight_attempt::InFlightAttempt;
 use pending_requests::PendingRequests;
@@ -331,7 +331,20 @@
                 self.parts.pool.set_max_idle(max_idle as usize);
             }
             Action::WatchEndpoints => self.parts.watch_requested.notify_one(),
-            Action::Log(text) => tracing::info!("{text}"),
+            Action::Log(event) => self.log(event),
+        }
+    }
+
+    /// Writes what the balancer reports to the log, with a backend's address as the list gives it.
+    fn log(&self, event: LogEvent) {
+        match event {
+            LogEvent::BackendEjected { backend, outcome } => {
+                let address = self.upstreams.address(backend);
+                let address = address.map_or_else(|| "unknown".into(), |known| known.to_string());
+                tracing::info!(%address, ?outcome, "backend ejected");
+            }
+            LogEvent::WatchFailed => tracing::info!("discovery watch failed, polling again"),
+            LogEvent::WatchTimedOut => tracing::info!("discovery watch timed out, polling again"),
         }
     }
 
--- a/crates/proxy/src/driver/upstreams.rs
+++ b/crates/proxy/src/driver/upstreams.rs
@@ -4,6 +4,7 @@
 use crate::upstream::Upstream;
 use brookstack_balancer::{BackendId, BackendState, Endpoint, EndpointUpdate};
 use std::collections::HashMap;
+use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// The current process of each backend on the endpoint list.
@@ -49,6 +50,12 @@
             .cloned()
     }
 
+    /// The address of a backend, unless it has left the list.
+    pub fn address(&self, backend: BackendId) -> Option<SocketAddr> {
+        let upstream = self.by_backend.get(&backend)?;
+        Some(upstream.target.address)
+    }
+
     /// Whether new requests may go to any backend.
     pub fn any_accepting(&self) -> bool {
         self.by_backend
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -5,7 +5,7 @@
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::InvalidSettings;
-use brookstack_balancer::Action;
+use brookstack_balancer::{Action, LogEvent};
 use serde_json::{json, Value};
 use std::io::Write;
 
@@ -45,13 +45,23 @@
         }
         Action::LimitIdleConnections { .. } => Ok(()),
         Action::WatchEndpoints => writeln!(reply, "[\"FOLLOW\",\"{instance}\",true]"),
-        Action::Log(text) => {
-            write_json(&json!(["WRITE_LOG", instance, text]), reply);
+        Action::Log(event) => {
+            write_json(&json!(["WRITE_LOG", instance, log_text(*event)]), reply);
             Ok(())
         }
     };
 }
 
+fn log_text(event: LogEvent) -> String {
+    match event {
+        LogEvent::BackendEjected { backend, outcome } => {
+            format!("backend {} ejected: {outcome:?}", backend.0)
+        }
+        LogEvent::WatchFailed => "discovery watch failed, polling again".into(),
+        LogEvent::WatchTimedOut => "discovery watch timed out, polling again".into(),
+    }
+}
+
 /// Writes the line that reports that the settings of an instance are invalid.
 pub fn write_fault(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
     let text = format!("settings: {error}");
