--- a/crates/balancer/src/capacity.rs
+++ b/crates/balancer/src/capacity.rs
@@ -91,7 +91,7 @@
                 backend.end_ejection(); // on probation: the next failure ejects it for longer
             }
             let endpoint = &backend.endpoint;
-            let kind = self.kinds.entry(endpoint.kind).or_default();
+            let kind = self.kinds.entry(endpoint.machine_type).or_default();
             kind.idle_weight = kind.idle_weight.max(endpoint.weight);
             let health = match backend.ejected_until {
                 _ if endpoint.state != BackendState::Ready => 0.0,
@@ -124,7 +124,7 @@
             .for_each(KindRecord::clear_local_shares);
         self.placeable_fraction = 0.0;
         for ((&id, backend), limit) in self.backends.iter_mut().zip(limits) {
-            let kind = self.kinds.entry(backend.endpoint.kind).or_default();
+            let kind = self.kinds.entry(backend.endpoint.machine_type).or_default();
             let bias = biases.get(&backend.endpoint.zone).copied().unwrap_or(1.0);
             // Half of the capacity goes by that bias, half evenly. With many proxies a part is
             // below one: taking turns keeps the sum at the target, where one each would overload
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: its entries and the kinds of update that discovery sends.
 
-use crate::ids::{BackendId, CellId, KindId, ZoneId};
+use crate::ids::{BackendId, CellId, MachineTypeId, ZoneId};
 use crate::time::Time;
 
 /// An entry of the endpoint list.
@@ -13,7 +13,7 @@
     /// Its cell.
     pub cell: CellId,
     /// Its machine type.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     /// Whether it accepts new requests.
     pub state: BackendState,
     /// When its process last started; `None` if long ago.
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -18,8 +18,8 @@
     ZoneId(u64);
     /// A group of backends that share a store of idempotency keys.
     CellId(u64);
-    /// A machine type: backends of one kind are assumed to be equally fast.
-    KindId(u64);
+    /// A machine type: backends of one type are assumed to be equally fast.
+    MachineTypeId(u64);
     /// Index into [`Config::classes`](crate::Config::classes).
     ClassId(usize);
     /// Index into [`Config::tenants`](crate::Config::tenants).
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -79,7 +79,7 @@
         let kind = self
             .backends
             .get(&backend)
-            .and_then(|backend| self.kinds.get(&backend.endpoint.kind));
+            .and_then(|backend| self.kinds.get(&backend.endpoint.machine_type));
         let baseline = kind.and_then(|kind| kind.baseline_latency);
         let unloaded = baseline.map_or(0.0, |latency| latency * self.relative_work(class));
         Micros::from_secs(unloaded + (objective - unloaded).max(0.0) * fraction)
@@ -94,7 +94,7 @@
         self.classes[class].latency.add(seconds);
         self.overall_latency.add(seconds);
         let normalized = seconds * self.overall_latency.value / self.classes[class].latency.value;
-        let kind = self.kinds.entry(backend.endpoint.kind).or_default();
+        let kind = self.kinds.entry(backend.endpoint.machine_type).or_default();
         // Faulty backends respond late; a few such responses must not make the whole kind look
         // slow.
         let clip = kind.latency.get().unwrap_or(normalized) * LATENCY_CLIP;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -48,7 +48,8 @@
 pub use halb::halb_shares;
 pub use host::{TimerQueue, RESPONSE_GRACE_TICKS};
 pub use ids::{
-    AttemptNumber, BackendId, CellId, ClassId, KindId, RequestId, TenantId, TimerToken, ZoneId,
+    AttemptNumber, BackendId, CellId, ClassId, MachineTypeId, RequestId, TenantId, TimerToken,
+    ZoneId,
 };
 pub use state::Balancer;
 pub use time::{Micros, Time};
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -42,7 +42,7 @@
         // Beside few ready backends the flow overshoots; one with at most the target in flight is
         // no faster.
         let speed_at_target = |latency: f64| (1.0 + TARGET_CONCURRENCY) / latency;
-        let kind = self.kinds.get(&backend.endpoint.kind);
+        let kind = self.kinds.get(&backend.endpoint.machine_type);
         let speed =
             kind.and_then(|kind| Some(kind.proven_speed.min(speed_at_target(kind.latency.get()?))));
         let speed = speed.unwrap_or_else(|| {
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -20,7 +20,7 @@
     pub(crate) config: Config,
     pub(crate) rng: Rng,
     pub(crate) backends: BTreeMap<BackendId, BackendRecord>,
-    pub(crate) kinds: BTreeMap<KindId, KindRecord>,
+    pub(crate) kinds: BTreeMap<MachineTypeId, KindRecord>,
     pub(crate) classes: Vec<ClassRecord>,
     /// Seconds from dispatch to response over all classes, of served requests only.
     pub(crate) overall_latency: RunningMean,
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -44,7 +44,7 @@
 
 /// Backends that are divided together: each subset gets its part of every zone and kind. Where
 /// cells have to stay together, the kind is the default one for all.
-type GroupKey = (ZoneId, KindId);
+type GroupKey = (ZoneId, MachineTypeId);
 
 /// A backend's position in its group: by hash, then by id.
 type RingPosition = (u64, BackendId);
@@ -239,9 +239,9 @@
     (
         entry.zone,
         if keeps_cells_together(cfg) {
-            KindId::default()
+            MachineTypeId::default()
         } else {
-            entry.kind
+            entry.machine_type
         },
     )
 }
--- a/crates/balancer/src/subset/tests.rs
+++ b/crates/balancer/src/subset/tests.rs
@@ -15,7 +15,7 @@
         id: BackendId(mix(n)),
         zone: ZoneId(n / 4 % ZONES),
         cell: CellId(n / 4),
-        kind: KindId(kind),
+        machine_type: MachineTypeId(kind),
         state: BackendState::Ready,
         ..Endpoint::default()
     }
@@ -165,7 +165,7 @@
         for (kind, fraction) in [(0, 1.0 / 2.0), (1, 1.0 / 3.0), (2, 1.0 / 6.0)] {
             let own = members
                 .iter()
-                .filter(|id| entries[id].kind == KindId(kind))
+                .filter(|id| entries[id].machine_type == MachineTypeId(kind))
                 .count() as f64;
             let expected = fraction * size;
             assert!(
--- a/crates/balancer/src/zone_affinity.rs
+++ b/crates/balancer/src/zone_affinity.rs
@@ -17,7 +17,7 @@
         {
             let share = self
                 .kinds
-                .get(&backend.endpoint.kind)
+                .get(&backend.endpoint.machine_type)
                 .map_or(0.0, |kind| kind.share_of(backend));
             *capacity_shares.entry(backend.endpoint.zone).or_default() += share;
         }
--- a/crates/balancer/tests/common/builders.rs
+++ b/crates/balancer/tests/common/builders.rs
@@ -21,7 +21,7 @@
         id: BackendId(u64::from(id)),
         zone: ZoneId(u64::from(zone)),
         cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
-        kind: KindId(u64::from(kind)),
+        machine_type: MachineTypeId(u64::from(kind)),
         state: BackendState::Ready,
         started_at: None,
         weight: 1.0,
--- a/crates/fleet-simulator/src/world.rs
+++ b/crates/fleet-simulator/src/world.rs
@@ -4,7 +4,7 @@
 use crate::failure::InputError;
 use brookstack_balancer::settings::{self, stable_id, Key};
 use brookstack_balancer::{
-    BackendId, BackendState, CellId, Config, Endpoint, KindId, Time, ZoneId,
+    BackendId, BackendState, CellId, Config, Endpoint, MachineTypeId, Time, ZoneId,
 };
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -147,7 +147,7 @@
         id: BackendId(stable_id(&backend_name(backend))),
         zone: ZoneId(stable_id(ZONES[placement.zone])),
         cell: CellId(placement.group),
-        kind: KindId(stable_id(KINDS[placement.kind].name)),
+        machine_type: MachineTypeId(stable_id(KINDS[placement.kind].name)),
         state,
         started_at,
         weight: 1.0,
--- a/crates/proxy/src/discovery/endpoint_list/entry.rs
+++ b/crates/proxy/src/discovery/endpoint_list/entry.rs
@@ -3,7 +3,7 @@
 use super::scalar::{InvalidValue, Scalar};
 use super::ResolvedEndpoint;
 use brookstack_balancer::settings::stable_id;
-use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, KindId, Time, ZoneId};
+use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, MachineTypeId, Time, ZoneId};
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
             id: BackendId(stable_id(text(&self.name, at("name"))?)),
             zone: ZoneId(stable_id(text(&self.zone, at("zone"))?)),
             cell: CellId(group_number(&self.group, at("group"))?),
-            kind: KindId(stable_id(text(&self.machine_type, at("type"))?)),
+            machine_type: MachineTypeId(stable_id(text(&self.machine_type, at("type"))?)),
             state,
             started_at,
             weight: weight(&self.weight, at("weight"))?,
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -3,7 +3,7 @@
 
 use crate::error::MessageError;
 use brookstack_balancer::settings::stable_id;
-use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, KindId, Time, ZoneId};
+use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, MachineTypeId, Time, ZoneId};
 use serde_json::Value;
 use std::collections::HashMap;
 
@@ -154,7 +154,7 @@
         id: BackendId(stable_id(address)),
         zone: ZoneId(stable_id(row.text(column::ZONE, "a zone")?)),
         cell: CellId(row.cell()?),
-        kind: KindId(stable_id(row.text(column::KIND, "a kind")?)),
+        machine_type: MachineTypeId(stable_id(row.text(column::KIND, "a kind")?)),
         state,
         started_at,
         weight: row.weight()?,
