--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -64,6 +64,7 @@
     },
     /// A poll of discovery or the watch on the endpoint list failed; the balancer will poll again.
     WatchFailed,
-    /// A poll of discovery or the watch on the endpoint list timed out; the balancer will poll again.
+    /// A poll of discovery or the watch on the endpoint list timed out; the balancer will poll
+    /// again.
     WatchTimedOut,
 }
--- /dev/null
+++ b/crates/balancer/src/backends/health.rs
@@ -0,0 +1,108 @@
+//! The health of one backend: its error rate, its ejections and whether it responds.
+
+use crate::{Micros, Time};
+
+/// Least error rate of a suspect backend: it is picked less until it responds in time.
+const SUSPECT_ERROR_RATE: f64 = 0.7;
+/// An ejection lasts twice as long as the one before it, so many times at most.
+const MAX_EJECTION_DOUBLINGS: i32 = 2;
+
+/// What outlier detection knows of one backend.
+///
+/// It owns these observations; [`OutlierDetector`](super::OutlierDetector) decides what they lead
+/// to.
+#[derive(Default)]
+pub(crate) struct BackendHealth {
+    /// Running fraction of responses that were errors.
+    error_rate: f64,
+    /// When it last responded in any way.
+    last_response_at: Time,
+    /// When the newest request that it served was sent: it was not draining then.
+    last_accepted_at: Time,
+    /// A response is suspiciously long overdue.
+    unresponsive: bool,
+    /// It is ejected, until this time at least.
+    ejected_until: Option<Time>,
+    /// Ejections without a success between them.
+    consecutive_ejections: i32,
+}
+
+impl BackendHealth {
+    /// Running fraction of responses that were errors.
+    pub fn error_rate(&self) -> f64 {
+        self.error_rate
+    }
+
+    /// When it last responded in any way.
+    pub fn last_response_at(&self) -> Time {
+        self.last_response_at
+    }
+
+    /// When the newest request that it served was sent: it was not draining then.
+    pub fn last_accepted_at(&self) -> Time {
+        self.last_accepted_at
+    }
+
+    /// Whether a response is suspiciously long overdue.
+    pub fn is_unresponsive(&self) -> bool {
+        self.unresponsive
+    }
+
+    /// Whether it is ejected.
+    pub fn is_ejected(&self) -> bool {
+        self.ejected_until.is_some()
+    }
+
+    /// Whether attempts in flight on this backend will probably get no response, because it is
+    /// ejected or unresponsive.
+    pub fn is_out_of_use(&self) -> bool {
+        self.is_unresponsive() || self.is_ejected()
+    }
+
+    /// Records that it served a request. `weight` is that of this outcome in the error rate.
+    pub fn record_success(&mut self, now: Time, sent_at: Time, weight: f64) {
+        self.last_response_at = now;
+        self.last_accepted_at = self.last_accepted_at.max(sent_at);
+        self.error_rate *= 1.0 - weight;
+        self.consecutive_ejections = 0;
+    }
+
+    /// Records that it responded with an error. `weight` is that of this outcome in the error rate.
+    pub fn record_error(&mut self, now: Time, weight: f64) {
+        self.last_response_at = now;
+        self.error_rate += (1.0 - self.error_rate) * weight;
+    }
+
+    /// Records that it is slow, so that it is picked less.
+    pub fn mark_suspect(&mut self) {
+        self.error_rate = self.error_rate.max(SUSPECT_ERROR_RATE);
+    }
+
+    /// Records whether a response is suspiciously long overdue.
+    pub fn set_unresponsive(&mut self, unresponsive: bool) {
+        self.unresponsive = unresponsive;
+    }
+
+    /// Ejects it unless an ejection is under way; returns whether it did. The first ejection lasts
+    /// `duration` seconds, each further one twice as long as the one before, up to a limit.
+    pub fn eject(&mut self, now: Time, duration: f64) -> bool {
+        let is_under_way = self.ejected_until.is_some_and(|until| now < until);
+        if is_under_way {
+            return false;
+        }
+        let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
+        let duration = Micros::from_secs(duration * f64::from(doublings).exp2());
+        self.ejected_until = Some(now + duration);
+        self.consecutive_ejections += 1;
+        true
+    }
+
+    /// Ends an ejection whose time is over. The count of consecutive ejections stays: the next
+    /// failure ejects it for longer.
+    pub fn end_ejection_if_due(&mut self, now: Time) {
+        if self.ejected_until.is_some_and(|until| now >= until) {
+            self.ejected_until = None;
+            self.error_rate = 0.0;
+        }
+    }
+}
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,143 +1,311 @@
 //! The balancer's state machine: takes an event (`event.rs`), decides by its configuration
-//! (`config.rs`) and returns actions (`action.rs`). What it owns is laid out in `state.rs` and
-//! `records.rs`. Ordinary path: `capacity.rs` turns the arrival rate and the learned speeds into a
-//! share per kind (HALB), `picker.rs` draws a kind by share and a backend inside it at random. All
-//! else departs from it for faults.
+//! (`config.rs`) and returns actions (`action.rs`).
+//!
+//! The [`Balancer`] is made of components, each of which owns one part of the state. Its methods
+//! call them in the order of what happens at an event: this file has one method for each event,
+//! `dispatch.rs` what leads to a request's attempts and final response, and `periodic.rs` what is
+//! done at regular times.
 
-use crate::*;
+mod dispatch;
+mod periodic;
+
+use crate::admission::{AdmissionControl, PROMPT_FRACTION};
+use crate::backends::{BackendTable, OutlierDetector};
+use crate::discovery_watch::DiscoveryWatch;
+use crate::estimation::{LatencyEstimates, RATE_MEMORY};
+use crate::idle_connections::IdleConnectionLimit;
+use crate::outbox::Outbox;
+use crate::peers::Peers;
+use crate::random::Rng;
+use crate::requests::{InFlightAttempt, Request, RequestQueue, RequestTable};
+use crate::retry::{RetryBudget, QUEUE_CHECK_TICKS};
+use crate::routing::{count_in_flight, ConcurrencyLimits, TrafficShares};
+use crate::subset::{Subset, SubsetUpdate};
+use crate::wakeups::Wakeups;
+use crate::{
+    Action, Arrival, AttemptEnd, Config, ConfigError, Endpoint, EndpointUpdate, Event, LogEvent,
+    Micros, Outcome, Time,
+};
+
+/// The decisions of one proxy. Give it every event in order; it responds with actions.
+pub struct Balancer {
+    config: Config,
+    rng: Rng,
+    /// Open requests and their attempts in flight.
+    requests: RequestTable,
+    /// The open requests that wait for a backend.
+    queue: RequestQueue,
+    /// Which requests are admitted, by priority and tenant quota.
+    admission: AdmissionControl,
+    /// The retries and hedged requests that may be sent now.
+    retry_budget: RetryBudget,
+    /// The backends that this proxy uses, and their machine types.
+    backends: BackendTable,
+    /// Which backends are faulty.
+    outliers: OutlierDetector,
+    /// How many attempts this proxy may have in flight.
+    concurrency: ConcurrencyLimits,
+    /// When the shares of the traffic are computed, and how much of it they can place.
+    shares: TrafficShares,
+    /// Latency and work of each class.
+    latencies: LatencyEstimates,
+    /// The endpoint list, and the part of it that this proxy uses.
+    subset: Subset,
+    /// When discovery is polled, and how old the endpoint list is.
+    discovery_watch: DiscoveryWatch,
+    /// How many idle connections the host may keep.
+    idle_connections: IdleConnectionLimit,
+    /// When something is next to be done without an event.
+    wakeups: Wakeups,
+    /// The actions that the event at hand has called for so far.
+    outbox: Outbox,
+}
 
 impl Balancer {
+    /// A proxy that knows nothing yet but its configuration.
+    pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
+        config.validate()?;
+        Ok(Balancer {
+            rng: Rng::new(seed),
+            requests: RequestTable::default(),
+            queue: RequestQueue::default(),
+            admission: AdmissionControl::new(&config),
+            retry_budget: RetryBudget::default(),
+            backends: BackendTable::default(),
+            outliers: OutlierDetector::default(),
+            concurrency: ConcurrencyLimits::new(),
+            shares: TrafficShares::new(&config),
+            latencies: LatencyEstimates::new(&config),
+            subset: Subset::new(),
+            discovery_watch: DiscoveryWatch::new(&config),
+            idle_connections: IdleConnectionLimit::default(),
+            wakeups: Wakeups::new(),
+            outbox: Outbox::default(),
+            config,
+        })
+    }
+
     /// Takes one event that happened at `now` and appends the actions it calls for.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        if !matches!(event, Event::Request(_) | Event::Timer { .. }) {
-            // The others free no capacity, and trying a long queue costs CPU.
-            self.blocked_below_weight = 0.0;
+        if may_free_capacity(&event) {
+            self.queue.unblock();
+        }
+        self.shares.record_event(now);
+        let in_flight = self.count_in_flight();
+        self.concurrency.record_in_flight(now, in_flight);
+        if !self.handle_event(now, event) {
+            return;
+        }
+        if self.shares.are_due(now) {
+            self.recompute_shares(now);
+        }
+        if self.wakeups.take_due(now) {
+            self.poll_discovery(now);
+            self.check_attempts(now);
+            self.check_requests(now);
+        }
+        self.send_queued(now);
+        if let Some(max_idle) = self.idle_connections.take_change() {
+            self.outbox.push(Action::LimitIdleConnections { max_idle });
+        }
+        if let Some(set_timer) = self.wakeups.timer_to_set(now, self.config.tick) {
+            self.outbox.push(set_timer);
         }
-        self.first_event_at.get_or_insert(now);
-        self.in_flight_mean.advance(now, self.in_use());
+        self.outbox.drain_into(actions);
+    }
+
+    /// Handles what is particular to an event; returns false for a timer that was replaced by a
+    /// newer one, which changes nothing.
+    fn handle_event(&mut self, now: Time, event: Event) -> bool {
         match event {
             Event::EndpointsUpdated { update, endpoints } => {
-                self.on_endpoints(now, update, endpoints);
+                self.on_endpoints_updated(now, update, endpoints);
+            }
+            Event::Request(arrival) => self.on_request(now, &arrival),
+            Event::StreamStarted { request, attempt } => {
+                self.requests.record_stream(request, attempt);
             }
-            Event::Request(arrival) => self.on_request(now, arrival),
-            Event::StreamStarted { request, attempt } => self.record_stream(request, attempt),
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end),
-            Event::ConnectionRejected {
-                idle_connections: idle,
-            } => {
-                self.idle_connections.on_connection_rejected(now, idle);
+            Event::ConnectionRejected { idle_connections } => {
+                self.idle_connections
+                    .on_connection_rejected(now, idle_connections);
             }
-            Event::ClientDisconnected { request } => self.close(request, None),
-            Event::Timer { token } if token.0 != self.timer.token => return,
-            Event::Timer { .. } => self.timer.expires_at = None,
-        }
-        if now - self.solved_at >= self.solve_interval {
-            self.solve(now);
-        }
-        if now >= self.next_wakeup {
-            self.next_wakeup = Time(u64::MAX);
-            self.on_wakeup(now);
-        }
-        self.pump(now);
-        let idle_limit = self.idle_connections.take_change();
-        self.actions
-            .extend(idle_limit.map(|max_idle| Action::LimitIdleConnections { max_idle }));
-        self.set_timer(now);
-        actions.append(&mut self.actions);
+            Event::ClientDisconnected { request } => self.close_request(request),
+            Event::Timer { token } => return self.wakeups.accept_timer(token),
+        }
+        true
     }
 
-    /// What has to be done without an event.
-    fn on_wakeup(&mut self, now: Time) {
-        if self.discovery_watch.take_due_poll(now, &self.config) {
-            self.actions.push(Action::WatchEndpoints);
+    fn on_endpoints_updated(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) {
+        self.update_discovery_watch(now, update, &endpoints);
+        if let Some(poll_at) = self.discovery_watch.next_poll_at {
+            self.wakeups.wake_by(poll_at);
+        }
+        let SubsetUpdate { update, endpoints } =
+            self.subset.apply(now, &self.config, update, endpoints);
+        if self.backends.apply_update(update, endpoints) {
+            self.recompute_shares(now);
         }
-        self.wake_by(
-            self.discovery_watch
-                .next_poll_at
-                .unwrap_or(self.next_wakeup),
-        );
-        self.check_attempts(now);
-        self.check_requests(now);
     }
 
-    fn on_endpoints(&mut self, now: Time, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+    fn update_discovery_watch(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        endpoints: &[Endpoint],
+    ) {
+        let watch = &mut self.discovery_watch;
         match update {
             EndpointUpdate::WatchFailed => {
-                self.discovery_watch
-                    .on_watch_failed(now, &self.config, self.rng.unit());
-                self.log(now, LogEvent::WatchFailed);
+                watch.on_watch_failed(now, &self.config, self.rng.unit());
+                self.outbox.log(now, LogEvent::WatchFailed);
             }
             EndpointUpdate::WatchTimedOut => {
-                self.discovery_watch.on_watch_timed_out(now, &self.config);
-                self.log(now, LogEvent::WatchTimedOut);
-            }
-            EndpointUpdate::Delta | EndpointUpdate::Snapshot => {
-                self.discovery_watch.on_endpoints_received(now);
+                watch.on_watch_timed_out(now, &self.config);
+                self.outbox.log(now, LogEvent::WatchTimedOut);
             }
+            EndpointUpdate::Delta | EndpointUpdate::Snapshot => watch.on_endpoints_received(now),
             EndpointUpdate::Cached => {
-                self.discovery_watch.on_process_started(
-                    now,
-                    &self.config,
-                    !endpoints.is_empty(),
-                    || self.rng.unit(),
-                );
+                let has_cached_list = !endpoints.is_empty();
+                let rng = &mut self.rng;
+                watch.on_process_started(now, &self.config, has_cached_list, || rng.unit());
             }
         }
-        self.wake_by(
-            self.discovery_watch
-                .next_poll_at
-                .unwrap_or(self.next_wakeup),
+    }
+
+    /// Takes in a request, then queues or rejects it.
+    fn on_request(&mut self, now: Time, arrival: &Arrival) {
+        let Some(class) = self.config.classes.get(arrival.class.0) else {
+            return;
+        };
+        if self.requests.contains(arrival.request) {
+            return;
+        }
+        let expected_work = arrival.work_hint.unwrap_or_default();
+        let objective = class.latency_objective + expected_work.times(class.objective_per_work);
+        self.retry_budget.deposit();
+        let weight = self.admission.record_arrival(now, &self.config, arrival);
+        let request = Request::new(now, arrival, objective, weight);
+        self.requests.insert(arrival.request, request);
+        let is_admitted = self.admission.admit(
+            now,
+            arrival.class,
+            weight,
+            &self.config,
+            &self.latencies,
+            &mut self.rng,
         );
-        if self.apply_endpoints(now, update, endpoints) {
-            self.solve(now);
+        if !is_admitted || !self.shares.can_place(&mut self.rng) {
+            self.give_up(arrival.request);
+            return;
         }
+        self.queue.push(arrival.request);
+        let queue_check = self.config.tick.times(QUEUE_CHECK_TICKS);
+        self.wakeups
+            .wake_by(now + queue_check.min(arrival.time_left));
     }
 
+    /// Learns from the end of an attempt. Its request then has its final response or waits for
+    /// another attempt.
     fn on_attempt_ended(&mut self, now: Time, mut end: AttemptEnd) {
-        let Some(attempt) = self.in_flight_attempts.remove(&(end.request, end.attempt)) else {
+        let Some(attempt) = self.requests.take_in_flight(&end) else {
             return;
         };
-        let class = &self.config.classes[attempt.class];
-        if end.outcome == Outcome::Cancelled && end.latency > class.latency_objective {
-            // Cancelled when its client left after all that time: as much against the backend as a
-            // time-out.
+        let objective = self.config.classes[attempt.class.0].latency_objective;
+        if end.outcome == Outcome::Cancelled && end.latency > objective {
+            // It was cancelled when its client left after all that time: that counts as much
+            // against the backend as a time-out.
             end.outcome = Outcome::TimedOut;
         }
-        let success = end.outcome == Outcome::Success;
-        // A rejection mostly comes from a backend that drains or lacks connections, not from
-        // overload.
-        if !attempt.late && (success || end.outcome == Outcome::TimedOut) {
-            let prompt =
-                success && end.latency < self.prompt_latency(attempt.backend, attempt.class);
-            self.adjust_admission(prompt);
-        }
-        self.record_outcome(now, &attempt, &end);
-        let Some(request) = self.record_attempt_end(&end) else {
+        self.adjust_admission(&attempt, &end);
+        self.learn_from_outcome(now, &attempt, &end);
+        let Some(request) = self.requests.record_attempt_end(&end) else {
             return;
         };
-        let on_time = success && now <= request.objective_at;
-        if end.settled || success {
-            self.close(end.request, Some(on_time));
-        } else if !request.in_flight() && !self.queue.contains(&end.request) {
-            self.queue.push(end.request); // `pump` sends it again or gives it up
+        let is_success = end.outcome == Outcome::Success;
+        let is_on_time = is_success && now <= request.objective_at;
+        if end.settled || is_success {
+            self.close_answered_request(end.request, is_on_time);
+        } else if !request.is_in_flight() && !self.queue.contains(end.request) {
+            // `send_queued` sends it again or gives it up.
+            self.queue.push(end.request);
         }
     }
 
-    /// Forgets a request and cancels the attempts that are still in flight.
-    pub(crate) fn close(&mut self, id: RequestId, on_time: Option<bool>) {
-        let Some(request) = self.remove_request(id, on_time) else {
+    /// Lets admission control learn from the end of an attempt. A rejection mostly comes from a
+    /// backend that drains or lacks connections, not from overload.
+    fn adjust_admission(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd) {
+        let is_success = end.outcome == Outcome::Success;
+        let shows_load = is_success || end.outcome == Outcome::TimedOut;
+        if attempt.counted_late || !shows_load {
+            return;
+        }
+        let is_prompt = is_success && end.latency < self.prompt_latency(attempt);
+        self.admission.adjust(is_prompt, self.peers());
+    }
+
+    /// Lets outlier detection and the estimates learn from the outcome of an attempt.
+    fn learn_from_outcome(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
+        let Some(backend) = self.backends.get_mut(attempt.backend) else {
             return;
         };
-        let in_flight = request
-            .attempts
-            .iter()
-            .enumerate()
-            .filter(|(_, attempt)| attempt.in_flight);
-        for (number, _) in in_flight.filter(|_| self.config.cancellation_allowed) {
-            self.actions.push(Action::Cancel {
-                request: id,
-                attempt: AttemptNumber(number as u32),
-            });
+        backend.record_attempt_end();
+        let is_ejected = self.outliers.record_outcome(
+            now,
+            attempt,
+            end,
+            &mut self.backends,
+            &self.latencies,
+            &mut self.rng,
+        );
+        if is_ejected {
+            self.wakeups.wake_by(now + self.config.tick);
+            let ejection = LogEvent::BackendEjected {
+                backend: attempt.backend,
+                outcome: end.outcome,
+            };
+            self.outbox.log(now, ejection);
+        }
+        if end.outcome == Outcome::Success {
+            let mean_request_latency = self.latencies.record(attempt.class, end.latency);
+            self.backends
+                .record_latency(attempt.backend, mean_request_latency);
         }
     }
+
+    /// The time from its dispatch within which a response to an attempt counts as prompt.
+    fn prompt_latency(&self, attempt: &InFlightAttempt) -> Micros {
+        let baseline = self.backends.baseline_latency(attempt.backend);
+        self.latencies
+            .threshold(baseline, attempt.class, PROMPT_FRACTION)
+    }
+
+    /// The proxies that share each backend with this one.
+    fn peers(&self) -> Peers {
+        Peers {
+            per_backend: self.subset.proxies_per_backend(&self.config),
+        }
+    }
+
+    /// Attempts that count against the limits of this proxy.
+    fn count_in_flight(&self) -> f64 {
+        count_in_flight(&self.requests, &self.backends, self.peers())
+    }
+
+    /// When a client that is rejected now may find capacity: until then the rate that left it none
+    /// still counts.
+    pub fn retry_after(&self) -> Micros {
+        Micros::from_secs(RATE_MEMORY)
+    }
+}
+
+/// Whether an event may free capacity for waiting requests. The others do not, and offering a long
+/// queue to full backends again costs CPU.
+fn may_free_capacity(event: &Event) -> bool {
+    !matches!(event, Event::Request(_) | Event::Timer { .. })
 }
--- /dev/null
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -0,0 +1,197 @@
+//! From a waiting request to its attempts and its final response.
+
+use super::Balancer;
+use crate::admission::PROMPT_FRACTION;
+use crate::requests::{QueuedRequest, Request};
+use crate::retry::RetryPolicy;
+use crate::routing::Picker;
+use crate::{Action, AttemptNumber, BackendId, RequestId, Time};
+
+/// What a waiting request can have now.
+enum Offer {
+    /// An attempt on this backend.
+    Backend(BackendId),
+    /// No backend has capacity for it.
+    NoCapacity,
+    /// No further attempt is allowed.
+    NotAllowed,
+}
+
+impl Balancer {
+    /// Sends what waits, in the order of [`QueuedRequest::sending_order`].
+    pub(super) fn send_queued(&mut self, now: Time) {
+        if self.queue.is_idle() {
+            return;
+        }
+        for queued in self.take_queued() {
+            if self.queue.is_blocked(&queued) {
+                // Nothing that is less urgent finds capacity, and trying each costs CPU.
+                self.queue.push(queued.id);
+            } else {
+                self.send_or_give_up(now, queued.id);
+            }
+        }
+    }
+
+    /// Empties the queue, in the order in which it is to be sent.
+    fn take_queued(&mut self) -> Vec<QueuedRequest> {
+        let densities = self.admission.densities(&self.config, &self.latencies);
+        let mut queued = Vec::new();
+        for id in self.queue.take_all() {
+            if let Some(request) = self.requests.get(id) {
+                let density = densities[request.class.0];
+                queued.push(QueuedRequest::new(id, request, density));
+            }
+        }
+        queued.sort_by(QueuedRequest::sending_order);
+        queued
+    }
+
+    /// Sends a request, queues it again or gives it up.
+    fn send_or_give_up(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let is_in_flight = request.is_in_flight();
+        match self.offer(now, id) {
+            Offer::Backend(backend) => self.dispatch(now, id, backend),
+            Offer::NoCapacity => self.queue_again(id),
+            Offer::NotAllowed if !is_in_flight => self.give_up(id),
+            // Its attempt in flight may still succeed.
+            Offer::NotAllowed => {}
+        }
+    }
+
+    /// What a request can have now.
+    fn offer(&mut self, now: Time, id: RequestId) -> Offer {
+        let Some(request) = self.requests.get(id) else {
+            return Offer::NotAllowed;
+        };
+        let has_budget = !request.needs_retry_budget() || self.retry_budget.is_available();
+        let retry_policy = RetryPolicy::new(&self.config, request);
+        if !has_budget || !retry_policy.allows_attempt(now, request) {
+            return Offer::NotAllowed;
+        }
+        let is_low_priority = request.weight.is_low_priority();
+        if !self
+            .concurrency
+            .allow(self.count_in_flight(), is_low_priority)
+        {
+            return Offer::NoCapacity;
+        }
+        let picker = Picker::new(
+            now,
+            &self.config,
+            &self.backends,
+            request,
+            &self.latencies,
+            &self.discovery_watch,
+        );
+        match picker.pick(&mut self.rng) {
+            Some(backend) => Offer::Backend(backend),
+            None => Offer::NoCapacity,
+        }
+    }
+
+    fn dispatch(&mut self, now: Time, id: RequestId, backend_id: BackendId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some(backend) = self.backends.get_mut(backend_id) else {
+            return;
+        };
+        let class = request.class;
+        if request.needs_retry_budget() {
+            self.retry_budget.withdraw();
+        }
+        let work = self.latencies.relative_work(class);
+        backend.record_dispatch(now, work, self.config.overload_window);
+        self.requests.record_dispatch(now, id, backend.endpoint());
+        let baseline = self.backends.baseline_latency(backend_id);
+        let prompt_latency = self.latencies.threshold(baseline, class, PROMPT_FRACTION);
+        self.wakeups.wake_by(now + prompt_latency);
+        self.outbox.push(Action::Dispatch {
+            request: id,
+            backend: backend_id,
+        });
+    }
+
+    /// Queues a request that found no capacity.
+    fn queue_again(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get(id).filter(|request| request.is_unsent()) {
+            self.queue.block_like(request);
+        }
+        self.queue.push(id);
+    }
+
+    /// Queues a further attempt beside the one in flight. Where none may run beside it, cancels
+    /// that to make way for the next.
+    pub(super) fn hedge(&mut self, now: Time, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let retry_policy = RetryPolicy::new(&self.config, request);
+        if self.config.hedging_allowed {
+            if retry_policy.allows_attempt(now, request) && !self.queue.contains(id) {
+                self.queue.push(id);
+            }
+        } else if retry_policy.allows_replacement() {
+            self.outbox.push(Action::Cancel {
+                request: id,
+                attempt: AttemptNumber(0),
+            });
+        }
+    }
+
+    /// Gives the final response to a request that will not be served.
+    pub(super) fn give_up(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let retry_policy = RetryPolicy::new(&self.config, request);
+        let response = if retry_policy.is_rejection_harmless(request) {
+            Action::Reject { request: id }
+        } else {
+            Action::Fail { request: id }
+        };
+        self.outbox.push(response);
+        self.close_answered_request(id, false);
+    }
+
+    /// Closes a request that has its final response, within its objective or not.
+    pub(super) fn close_answered_request(&mut self, id: RequestId, is_on_time: bool) {
+        if let Some(request) = self.requests.get(id) {
+            self.admission.record_response(request.class, is_on_time);
+        }
+        self.close_request(id);
+    }
+
+    /// Forgets a request and cancels its attempts that are still in flight.
+    pub(super) fn close_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(id) else {
+            return;
+        };
+        self.queue.remove(id);
+        if self.config.cancellation_allowed {
+            self.cancel_attempts(id, &request);
+        }
+    }
+
+    fn cancel_attempts(&mut self, id: RequestId, request: &Request) {
+        for (number, attempt) in request.attempts.iter().enumerate() {
+            if attempt.in_flight {
+                self.outbox.push(Action::Cancel {
+                    request: id,
+                    attempt: AttemptNumber(number as u32),
+                });
+            }
+        }
+    }
+
+    /// Until when the newest attempt of a request may begin to be sent; `None` if no limit is
+    /// known.
+    pub fn send_by(&self, request: RequestId) -> Option<Time> {
+        let request = self.requests.get(request)?;
+        RetryPolicy::new(&self.config, request).send_by(request)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -0,0 +1,141 @@
+//! What is done at regular times: the computation of the shares, polls of discovery, and the checks
+//! of attempts and requests.
+
+use super::Balancer;
+use crate::admission::PROMPT_FRACTION;
+use crate::backends::Backend;
+use crate::estimation::ASSUMED_LATENCY;
+use crate::requests::Request;
+use crate::retry::{is_overdue, next_check};
+use crate::routing::{SharePlan, SlowStartPlan, ZoneFactors};
+use crate::{Action, Time};
+
+/// A time that never comes.
+const NEVER: Time = Time(u64::MAX);
+
+impl Balancer {
+    /// Computes readiness, shares and limits anew.
+    pub(super) fn recompute_shares(&mut self, now: Time) {
+        let elapsed = self.shares.begin_computation(now);
+        self.queue.unblock();
+        let peers = self.peers();
+        let ready_count = self.backends.update_readiness(now, &self.config);
+        self.idle_connections.grow(now, ready_count);
+        let own_rate = self.admission.update_rate(now);
+        // Few proxies visit each backend many times a second, except before their traffic comes.
+        let visit_rate = own_rate.filter(|_| !peers.are_few());
+        self.outliers.update_visit_interval(ready_count, visit_rate);
+        let fleet_rate = own_rate.map(|rate| rate * peers.per_backend);
+        let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY;
+        self.backends
+            .estimate_speeds(elapsed, assumed_latency, fleet_rate);
+        let known_rate = fleet_rate.filter(|_| self.latencies.has_samples());
+        self.backends.split_by_machine_type(known_rate);
+        self.concurrency
+            .update(self.backends.total_readiness(), peers);
+        self.allocate_shares(now, own_rate);
+    }
+
+    /// Sets each backend's part of the traffic and its limits.
+    fn allocate_shares(&mut self, now: Time, own_rate: Option<f64>) {
+        let replica = self.subset.replica(&self.config);
+        let window = self.config.overload_window;
+        let slow_start = SlowStartPlan {
+            now,
+            config: &self.config,
+            peers: self.peers(),
+            replica_index: replica.index,
+            backend_count: self.backends.len(),
+            own_rate,
+            window_fraction: self.shares.window_fraction(now, window),
+        };
+        let plan = SharePlan {
+            replica,
+            zone_factors: ZoneFactors::new(&self.config, &self.backends),
+            slow_start,
+        };
+        let placeable_fraction = self
+            .backends
+            .allocate_all(|id, backend, machine_type| plan.allocation(id, backend, machine_type));
+        self.shares.end_computation(placeable_fraction);
+    }
+
+    /// Polls discovery if that is due.
+    pub(super) fn poll_discovery(&mut self, now: Time) {
+        if self.discovery_watch.take_due_poll(now, &self.config) {
+            self.outbox.push(Action::WatchEndpoints);
+        }
+        if let Some(poll_at) = self.discovery_watch.next_poll_at {
+            self.wakeups.wake_by(poll_at);
+        }
+    }
+
+    /// Finds late responses and the backends whose responses are long overdue.
+    pub(super) fn check_attempts(&mut self, now: Time) {
+        if self.outliers.clear_unresponsive(&mut self.backends) {
+            // A backend that has responded meanwhile has capacity again.
+            self.queue.unblock();
+        }
+        let peers = self.peers();
+        for attempt in self.requests.in_flight_mut() {
+            let baseline = self.backends.baseline_latency(attempt.backend);
+            let prompt_latency = self
+                .latencies
+                .threshold(baseline, attempt.class, PROMPT_FRACTION);
+            // Lateness is known once the time is up: an overloaded backend responds only much
+            // later.
+            let late_at = attempt.sent_at + prompt_latency;
+            if !attempt.counted_late && now >= late_at {
+                attempt.counted_late = true;
+                self.admission.adjust(false, peers);
+            }
+            if !attempt.counted_late {
+                self.wakeups.wake_by(late_at);
+            }
+            let next_check =
+                self.outliers
+                    .check_attempt(now, attempt, &mut self.backends, &self.latencies);
+            self.wakeups.wake_by(next_check);
+        }
+    }
+
+    /// Gives up the requests that are overdue and hedges those whose only attempt is probably lost.
+    pub(super) fn check_requests(&mut self, now: Time) {
+        let mut overdue = Vec::new();
+        let mut lost = Vec::new();
+        let mut next_check_at = NEVER;
+        for (id, request) in self.requests.iter() {
+            if request.streaming {
+                continue;
+            }
+            next_check_at = next_check_at.min(next_check(now, &self.config, request));
+            let typical_latency = self.latencies.typical(request.class);
+            if is_overdue(now, &self.config, request, typical_latency) {
+                overdue.push(id);
+            } else if self.is_probably_lost(now, request) {
+                lost.push(id);
+            }
+        }
+        self.wakeups.wake_by(next_check_at);
+        for id in lost {
+            self.hedge(now, id);
+        }
+        for id in overdue {
+            self.give_up(id);
+        }
+    }
+
+    /// Whether the only attempt is on a backend that is ejected, unresponsive or gone, while
+    /// another attempt could be in time. Age alone is no reason: hedging requests that are merely
+    /// heavy would overload every backend.
+    fn is_probably_lost(&self, now: Time, request: &Request) -> bool {
+        let [attempt] = &request.attempts[..] else {
+            return false;
+        };
+        let backend = self.backends.get(attempt.endpoint.id);
+        let is_out_of_use =
+            backend.is_none_or(|backend: &Backend| backend.health().is_out_of_use());
+        let would_be_in_time = now + self.latencies.typical(request.class) < request.objective_at;
+        attempt.in_flight && is_out_of_use && would_be_in_time && self.retry_budget.is_available()
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/estimation.rs
@@ -0,0 +1,9 @@
+//! Estimates that the decisions work on: running means and rates, and the latency of each class.
+
+mod latency;
+
+pub(crate) use crate::estimators::{
+    update_fraction, RateEstimator, RunningMean, TimeWeightedMean, EPSILON, RATE_MEMORY,
+    SAMPLE_MEMORY,
+};
+pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY};
--- a/crates/balancer/src/halb.rs
+++ b/crates/balancer/src/halb.rs
@@ -1,53 +1,88 @@
-//! HALB: the optimal split of traffic between kinds of machines of different speed.
+//! HALB: the optimal split of traffic between machine types of different speed.
 
 /// Loads below this fraction of the total speed count as none.
 const MIN_LOAD: f64 = 1e-6;
-/// Requests that all proxies together may have in flight on one backend: a shared processor at four
+/// Requests that all proxies together may have in flight on one backend. A shared processor at four
 /// fifths of its capacity has four on average; more only makes each of them later.
 pub(crate) const TARGET_CONCURRENCY: f64 = 4.0;
 
-/// The clamped M/G/1/PS optimum. For kinds of (ready backends, speed of one of them) and the
-/// arrival rate, the fraction of the traffic for each; all zero when no backend is ready. No rate
-/// splits by backends.
-pub fn halb_shares(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
+/// Backends of one machine type.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MachineGroup {
+    /// How many of them are ready; one that is only partly ready counts as a fraction.
+    pub ready_backends: f64,
+    /// Requests per second that one of them can serve.
+    pub speed: f64,
+}
+
+/// The clamped M/G/1/PS optimum: the fraction of the traffic for each machine type, given the
+/// arrival rate in requests per second. All are zero when no backend is ready. Without a rate, the
+/// traffic is split evenly over the backends.
+pub fn halb_shares(groups: &[MachineGroup], rate: Option<f64>) -> Vec<f64> {
     let Some(rate) = rate else {
-        return split_evenly(kinds, |_| true);
+        return split_evenly(groups, |_| true);
     };
-    let mut used = kinds.to_vec();
+    let mut used = groups.to_vec();
     loop {
-        let root_sum: f64 = used.iter().map(|(ready, speed)| ready * speed.sqrt()).sum();
-        let speed_sum: f64 = used.iter().map(|(ready, speed)| ready * speed).sum();
-        if rate <= speed_sum * MIN_LOAD || speed_sum <= 0.0 {
-            // The limit of the optimum: the fastest kind takes all.
-            let fastest = used
-                .iter()
-                .filter(|kind| kind.0 > 0.0)
-                .map(|kind| kind.1)
-                .fold(0.0, f64::max);
-            return split_evenly(kinds, |speed| speed == fastest);
+        let total_speed: f64 = used
+            .iter()
+            .map(|group| group.ready_backends * group.speed)
+            .sum();
+        if rate <= total_speed * MIN_LOAD || total_speed <= 0.0 {
+            // The limit of the optimum: the fastest machine type takes all.
+            let fastest = fastest_ready(&used);
+            return split_evenly(groups, |speed| speed == fastest);
         }
-        let spare = speed_sum - rate;
-        let flow =
-            |(ready, speed): &(f64, f64)| ready * speed - ready * speed.sqrt() * spare / root_sum;
-        let flows: Vec<f64> = used.iter().map(flow).collect();
+        let flows = optimal_flows(&used, rate, total_speed);
         if flows.iter().all(|flow| *flow >= 0.0) {
             return flows.iter().map(|flow| flow / rate).collect();
         }
-        // Kinds too slow to be of use at this rate drop out.
-        used.iter_mut()
-            .zip(&flows)
-            .filter(|(_, flow)| **flow <= 0.0)
-            .for_each(|(kind, _)| kind.0 = 0.0);
+        // Machine types too slow to be of use at this rate drop out.
+        for (group, flow) in used.iter_mut().zip(&flows) {
+            if *flow <= 0.0 {
+                group.ready_backends = 0.0;
+            }
+        }
     }
 }
 
-/// Splits the traffic evenly over the backends of the kinds whose speed is chosen.
-fn split_evenly(kinds: &[(f64, f64)], is_chosen: impl Fn(f64) -> bool) -> Vec<f64> {
-    let chosen = kinds
+/// The flow to each machine type, requests per second, by the unclamped formula: negative for those
+/// that are too slow to be of use.
+fn optimal_flows(groups: &[MachineGroup], rate: f64, total_speed: f64) -> Vec<f64> {
+    let roots = groups
         .iter()
-        .map(|(ready, speed)| if is_chosen(*speed) { *ready } else { 0.0 });
-    let total: f64 = chosen.clone().sum();
-    chosen
-        .map(|ready| if total > 0.0 { ready / total } else { 0.0 })
-        .collect()
+        .map(|group| group.ready_backends * group.speed.sqrt());
+    let root_sum: f64 = roots.sum();
+    let spare_speed = total_speed - rate;
+    let mut flows = Vec::with_capacity(groups.len());
+    for MachineGroup {
+        ready_backends,
+        speed,
+    } in groups
+    {
+        let reserve = ready_backends * speed.sqrt() * spare_speed / root_sum;
+        flows.push(ready_backends * speed - reserve);
+    }
+    flows
+}
+
+/// The speed of the fastest machine type with a ready backend; 0 if there is none.
+fn fastest_ready(groups: &[MachineGroup]) -> f64 {
+    let ready = groups.iter().filter(|group| group.ready_backends > 0.0);
+    ready.map(|group| group.speed).fold(0.0, f64::max)
+}
+
+/// Splits the traffic evenly over the backends of the machine types whose speed is chosen.
+fn split_evenly(groups: &[MachineGroup], is_chosen: impl Fn(f64) -> bool) -> Vec<f64> {
+    let mut chosen = Vec::with_capacity(groups.len());
+    for group in groups {
+        let is_used = is_chosen(group.speed);
+        chosen.push(if is_used { group.ready_backends } else { 0.0 });
+    }
+    let total: f64 = chosen.iter().sum();
+    if total > 0.0 {
+        chosen.iter().map(|ready| ready / total).collect()
+    } else {
+        vec![0.0; groups.len()]
+    }
 }
--- /dev/null
+++ b/crates/balancer/src/peers.rs
@@ -0,0 +1,23 @@
+//! The proxies that share each backend.
+
+use crate::halb::TARGET_CONCURRENCY;
+
+/// How many proxies share each backend that this proxy uses.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Peers {
+    /// Their number on average, this proxy included.
+    pub per_backend: f64,
+}
+
+impl Peers {
+    /// Whether they are so few that their concurrency limits bound the load of each backend.
+    pub fn are_few(self) -> bool {
+        self.per_backend <= TARGET_CONCURRENCY
+    }
+
+    /// Attempts that this proxy may have in flight on backends of that total readiness, so that all
+    /// proxies together have [`TARGET_CONCURRENCY`] on each ready backend.
+    pub fn own_concurrency(self, readiness: f64) -> f64 {
+        TARGET_CONCURRENCY / self.per_backend * readiness
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/requests.rs
@@ -0,0 +1,10 @@
+//! Requests that are owed a response: the requests themselves, their attempts, and the queue of
+//! those that wait for a backend.
+
+mod queue;
+mod request;
+mod table;
+
+pub(crate) use queue::{QueuedRequest, RequestQueue};
+pub(crate) use request::{Attempt, Request};
+pub(crate) use table::{InFlightAttempt, RequestTable};
--- /dev/null
+++ b/crates/balancer/src/requests/table.rs
@@ -0,0 +1,123 @@
+//! The table of open requests and of their attempts in flight.
+
+use super::{Attempt, Request};
+use crate::{AttemptEnd, AttemptNumber, BackendId, ClassId, Endpoint, RequestId, Time};
+use std::collections::BTreeMap;
+
+/// An attempt that has not ended yet, as admission control and outlier detection watch it.
+pub(crate) struct InFlightAttempt {
+    /// The backend that the attempt was sent to.
+    pub backend: BackendId,
+    /// The traffic class of its request.
+    pub class: ClassId,
+    /// When it was dispatched.
+    pub sent_at: Time,
+    /// Admission control has already counted it as late.
+    pub counted_late: bool,
+}
+
+/// Identifies an attempt among those of all requests.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    request: RequestId,
+    attempt: AttemptNumber,
+}
+
+/// The open requests and their attempts in flight.
+///
+/// It owns both. An attempt in flight can outlive its request: the request is closed with its final
+/// response, the attempt ends when the host reports it.
+#[derive(Default)]
+pub(crate) struct RequestTable {
+    requests: BTreeMap<RequestId, Request>,
+    in_flight: BTreeMap<AttemptId, InFlightAttempt>,
+}
+
+impl RequestTable {
+    /// Whether the request is open.
+    pub fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    /// An open request.
+    pub fn get(&self, id: RequestId) -> Option<&Request> {
+        self.requests.get(&id)
+    }
+
+    /// The open requests in the order of their ids.
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> {
+        self.requests.iter().map(|(id, request)| (*id, request))
+    }
+
+    /// The attempts in flight in the order of their requests.
+    pub fn in_flight(&self) -> impl Iterator<Item = &InFlightAttempt> {
+        self.in_flight.values()
+    }
+
+    /// The same for those that mark attempts as late.
+    pub fn in_flight_mut(&mut self) -> impl Iterator<Item = &mut InFlightAttempt> {
+        self.in_flight.values_mut()
+    }
+
+    /// How many attempts are in flight.
+    pub fn in_flight_count(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Opens a request.
+    pub fn insert(&mut self, id: RequestId, request: Request) {
+        self.requests.insert(id, request);
+    }
+
+    /// Closes a request. Its attempts in flight stay in the table until they end.
+    pub fn remove(&mut self, id: RequestId) -> Option<Request> {
+        self.requests.remove(&id)
+    }
+
+    /// Records an attempt that the host has been asked to send.
+    pub fn record_dispatch(&mut self, now: Time, id: RequestId, endpoint: &Endpoint) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let attempt_id = AttemptId {
+            request: id,
+            attempt: AttemptNumber(request.attempts.len() as u32),
+        };
+        let in_flight = InFlightAttempt {
+            backend: endpoint.id,
+            class: request.class,
+            sent_at: now,
+            counted_late: false,
+        };
+        request.attempts.push(Attempt::new(endpoint.clone(), now));
+        self.in_flight.insert(attempt_id, in_flight);
+    }
+
+    /// Records that the response to an attempt in flight has begun to stream.
+    pub fn record_stream(&mut self, request: RequestId, attempt: AttemptNumber) {
+        let Some(request) = self.requests.get_mut(&request) else {
+            return;
+        };
+        let attempt = request.attempts.get(attempt.0 as usize);
+        request.streaming |= attempt.is_some_and(|attempt| attempt.in_flight);
+    }
+
+    /// Takes an attempt that has ended out of those in flight.
+    pub fn take_in_flight(&mut self, end: &AttemptEnd) -> Option<InFlightAttempt> {
+        let id = AttemptId {
+            request: end.request,
+            attempt: end.attempt,
+        };
+        self.in_flight.remove(&id)
+    }
+
+    /// Records how an attempt ended; returns its request unless that is closed.
+    pub fn record_attempt_end(&mut self, end: &AttemptEnd) -> Option<&Request> {
+        let request = self.requests.get_mut(&end.request)?;
+        if let Some(attempt) = request.attempts.get_mut(end.attempt.0 as usize) {
+            attempt.in_flight = false;
+            attempt.not_executed = end.outcome.not_executed();
+        }
+        Some(request)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/routing/picker.rs
@@ -0,0 +1,114 @@
+//! The picker: which backend a request is sent to.
+
+use crate::backends::{Backend, BackendTable};
+use crate::discovery_watch::{DiscoveryWatch, NOTIFICATION_DEADLINE};
+use crate::estimation::LatencyEstimates;
+use crate::random::Rng;
+use crate::requests::Request;
+use crate::retry::RetryPolicy;
+use crate::{BackendId, Config, MachineTypeId, Time};
+
+/// Random draws by share before all backends are looked through: when so many had no capacity, most
+/// have none.
+const MAX_DRAWS: usize = 8;
+
+/// Chooses a backend for one request.
+///
+/// It owns nothing: it reads the backends, the age of the endpoint list and the work estimates.
+pub(crate) struct Picker<'a> {
+    now: Time,
+    config: &'a Config,
+    backends: &'a BackendTable,
+    request: &'a Request,
+    retry_policy: RetryPolicy<'a>,
+    /// The request's work in multiples of a mean request.
+    work: f64,
+    /// The endpoint list has every change that this proxy counts as notified of.
+    is_list_fresh: bool,
+}
+
+impl<'a> Picker<'a> {
+    /// A picker for one request.
+    pub fn new(
+        now: Time,
+        config: &'a Config,
+        backends: &'a BackendTable,
+        request: &'a Request,
+        latencies: &LatencyEstimates,
+        discovery_watch: &DiscoveryWatch,
+    ) -> Picker<'a> {
+        Picker {
+            now,
+            config,
+            backends,
+            request,
+            retry_policy: RetryPolicy::new(config, request),
+            work: latencies.relative_work(request.class),
+            is_list_fresh: discovery_watch.is_fresh(now, config),
+        }
+    }
+
+    /// A backend for the request, or `None` if none has capacity. A first attempt draws the machine
+    /// type by its share, then a backend of it by readiness.
+    pub fn pick(&self, rng: &mut Rng) -> Option<BackendId> {
+        if self.request.is_unsent() {
+            let machine_types = self.shares_of_machine_types();
+            for _ in 0..MAX_DRAWS {
+                let machine_type = rng.pick_weighted(&machine_types)?;
+                let position = rng.unit();
+                if let Some(backend) = self.backend_at(machine_type, position) {
+                    return Some(backend);
+                }
+            }
+        }
+        rng.pick_weighted(&self.shares_of_available_backends())
+    }
+
+    fn shares_of_machine_types(&self) -> Vec<(MachineTypeId, f64)> {
+        let machine_types = self.backends.machine_types();
+        machine_types
+            .map(|(id, machine_type)| (id, machine_type.local_share()))
+            .collect()
+    }
+
+    /// The backend of a machine type at a position of its shares, if the request may go there.
+    fn backend_at(&self, machine_type: MachineTypeId, position: f64) -> Option<BackendId> {
+        let machine_type = self.backends.machine_type(machine_type)?;
+        let id = machine_type.backend_at(position)?;
+        let backend = self.backends.get(id)?;
+        self.is_available(backend).then_some(id)
+    }
+
+    fn shares_of_available_backends(&self) -> Vec<(BackendId, f64)> {
+        let mut available = Vec::new();
+        for (id, backend) in self.backends.iter() {
+            if self.is_available(backend) {
+                available.push((id, backend.local_share()));
+            }
+        }
+        available
+    }
+
+    /// Whether the backend may be sent this request and has capacity for it. An overloaded backend
+    /// stays slow for long, so one that is full is never given more.
+    fn is_available(&self, backend: &Backend) -> bool {
+        let is_low_priority = self.request.weight.is_low_priority();
+        let window = self.config.overload_window;
+        backend.is_usable()
+            && backend.has_free_concurrency(is_low_priority)
+            && backend.is_listed_as_ready()
+            && self.is_listing_trusted(backend)
+            && self
+                .retry_policy
+                .allows_backend(self.request, backend.endpoint())
+            && backend.is_within_slow_start_quota(self.now, window, self.work)
+    }
+
+    /// Whether the backend is certainly not draining. A list that may be out of date is trusted for
+    /// backends that served a recent request: they were not draining when that was sent, and a
+    /// change counts as notified only so much later.
+    fn is_listing_trusted(&self, backend: &Backend) -> bool {
+        let last_accepted_at = backend.health().last_accepted_at();
+        self.is_list_fresh || self.now - last_accepted_at < NOTIFICATION_DEADLINE
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/routing/zone_affinity.rs
@@ -0,0 +1,83 @@
+//! Zone affinity: where crossing zones costs, traffic stays in its zone as far as every backend
+//! gets the same share. A zone with more traffic than capacity sends the rest to zones with spare
+//! capacity.
+
+use crate::backends::BackendTable;
+use crate::estimation::EPSILON;
+use crate::{Config, ZoneId};
+use std::collections::BTreeMap;
+
+/// The factor of zones that make no difference.
+const NEUTRAL_FACTOR: f64 = 1.0;
+
+/// The factors on the shares of the backends of each zone.
+#[derive(Default)]
+pub(crate) struct ZoneFactors {
+    /// Empty where zones make no difference.
+    by_zone: BTreeMap<ZoneId, f64>,
+}
+
+impl ZoneFactors {
+    /// The factors for this proxy's zone and the present shares of the backends.
+    pub fn new(config: &Config, backends: &BackendTable) -> ZoneFactors {
+        if !prefers_own_zone(config, backends) {
+            return ZoneFactors::default();
+        }
+        let zone_count = f64::from(config.zone_count);
+        let capacity_shares = capacity_shares(backends);
+        let total_spare: f64 = capacity_shares
+            .values()
+            .map(|capacity| spare_capacity(*capacity, zone_count))
+            .sum();
+        let own_share = capacity_shares.get(&config.zone).copied().unwrap_or(0.0);
+        let own_capacity = own_share * zone_count;
+        let traffic_to_others = (1.0 - own_capacity).max(0.0);
+        let mut by_zone = BTreeMap::new();
+        for (zone, capacity) in capacity_shares {
+            let capacity = capacity.max(EPSILON);
+            let traffic = if zone == config.zone {
+                own_capacity.min(1.0)
+            } else {
+                let zone_spare = spare_capacity(capacity, zone_count);
+                traffic_to_others * zone_spare / total_spare.max(EPSILON)
+            };
+            by_zone.insert(zone, traffic / capacity);
+        }
+        ZoneFactors { by_zone }
+    }
+
+    /// The factor of a zone.
+    pub fn get(&self, zone: ZoneId) -> f64 {
+        self.by_zone.get(&zone).copied().unwrap_or(NEUTRAL_FACTOR)
+    }
+}
+
+/// Whether traffic is to stay in its zone: crossing zones costs, all zones have the same traffic,
+/// and the list names no more zones than are configured, for nobody knows the traffic of others.
+fn prefers_own_zone(config: &Config, backends: &BackendTable) -> bool {
+    let has_equal_traffic = config.proxy_count % config.zone_count == 0;
+    if config.cross_zone_cost <= 0.0 || !has_equal_traffic {
+        return false;
+    }
+    let mut zones = backends.zones();
+    zones.insert(config.zone);
+    zones.len() <= config.zone_count as usize
+}
+
+/// The fraction of the traffic that the usable backends of each zone can take.
+fn capacity_shares(backends: &BackendTable) -> BTreeMap<ZoneId, f64> {
+    let mut shares: BTreeMap<ZoneId, f64> = BTreeMap::new();
+    for (_, backend) in backends.iter() {
+        if backend.readiness() > 0.0 {
+            let machine_type = backends.machine_type(backend.machine_type());
+            let share = machine_type.map_or(0.0, |found| found.share_of(backend));
+            *shares.entry(backend.endpoint().zone).or_default() += share;
+        }
+    }
+    shares
+}
+
+/// What a zone can take beyond its own traffic, in multiples of the traffic of one zone.
+fn spare_capacity(capacity_share: f64, zone_count: f64) -> f64 {
+    (capacity_share * zone_count - 1.0).max(0.0)
+}
--- /dev/null
+++ b/crates/balancer/src/wakeups.rs
@@ -0,0 +1,68 @@
+//! Wake-ups: when the balancer has something to do without an event, and the timer that the host is
+//! asked for.
+
+use crate::{Action, Micros, Time, TimerToken};
+
+/// A time that never comes.
+const NEVER: Time = Time(u64::MAX);
+
+/// When something is next to be done without an event, and the pending timer.
+///
+/// It owns both. Components tell it by when they want to be called; the host has one timer that
+/// counts, the newest.
+pub(crate) struct Wakeups {
+    next_wakeup: Time,
+    /// The token of the newest timer; timers with older tokens are ignored.
+    newest_token: TimerToken,
+    /// When that timer expires, unless it has.
+    expires_at: Option<Time>,
+}
+
+impl Wakeups {
+    /// The first wake-up is due at once.
+    pub fn new() -> Wakeups {
+        Wakeups {
+            next_wakeup: Time(0),
+            newest_token: TimerToken(0),
+            expires_at: None,
+        }
+    }
+
+    /// Sees to it that the balancer is called at that time at the latest.
+    pub fn wake_by(&mut self, at: Time) {
+        self.next_wakeup = self.next_wakeup.min(at);
+    }
+
+    /// Records that a timer has expired; returns whether it counts.
+    pub fn accept_timer(&mut self, token: TimerToken) -> bool {
+        let is_newest = token == self.newest_token;
+        if is_newest {
+            self.expires_at = None;
+        }
+        is_newest
+    }
+
+    /// Whether a wake-up is due; if so, it counts as done.
+    pub fn take_due(&mut self, now: Time) -> bool {
+        let is_due = now >= self.next_wakeup;
+        if is_due {
+            self.next_wakeup = NEVER;
+        }
+        is_due
+    }
+
+    /// The timer that the host is to set for the next wake-up; `None` if the pending one expires
+    /// soon enough. No timer is shorter than a tick.
+    pub fn timer_to_set(&mut self, now: Time, tick: Micros) -> Option<Action> {
+        let is_covered = self.expires_at.is_some_and(|at| at <= self.next_wakeup);
+        if is_covered || self.next_wakeup == NEVER {
+            return None;
+        }
+        self.newest_token = TimerToken(self.newest_token.0 + 1);
+        self.expires_at = Some(self.next_wakeup);
+        Some(Action::SetTimer {
+            token: self.newest_token,
+            after: (self.next_wakeup - now).max(tick),
+        })
+    }
+}
--- a/crates/balancer/tests/halb.rs
+++ b/crates/balancer/tests/halb.rs
@@ -1,20 +1,27 @@
 //! The traffic shares of the HALB solution, against values worked out by hand from the paper's
 //! formula.
 //!
-//! With `n` ready backends of speed `s` in each kind, the formula gives a kind this flow:
+//! With `n` ready backends of speed `s` of each machine type, the formula gives a type this flow:
 //!
 //! ```text
 //! n * s - n * sqrt(s) * (speeds - rate) / roots,  speeds = sum(n * s),  roots = sum(n * sqrt(s))
 //! ```
 //!
-//! A kind whose flow is negative is clamped to none, and the rest is solved again.
+//! A machine type whose flow is negative is clamped to none, and the rest is solved again.
 
-use brookstack_balancer::halb_shares;
+use brookstack_balancer::{halb_shares, MachineGroup};
 
 const TOLERANCE: f64 = 1e-9;
 
+const fn group(ready_backends: f64, speed: f64) -> MachineGroup {
+    MachineGroup {
+        ready_backends,
+        speed,
+    }
+}
+
 /// One backend of speed 4 and one of speed 1: roots 3, speeds 5.
-const FAST_AND_SLOW: [(f64, f64); 2] = [(1.0, 4.0), (1.0, 1.0)];
+const FAST_AND_SLOW: [MachineGroup; 2] = [group(1.0, 4.0), group(1.0, 1.0)];
 
 fn assert_shares(actual: Vec<f64>, expected: &[f64]) {
     assert_eq!(actual.len(), expected.len());
@@ -28,7 +35,7 @@
 }
 
 #[test]
-fn kinds_with_positive_flows_share_the_traffic() {
+fn machine_types_with_positive_flows_share_the_traffic() {
     // Flows 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
     assert_shares(
         halb_shares(&FAST_AND_SLOW, Some(3.5)),
@@ -37,27 +44,30 @@
 }
 
 #[test]
-fn at_light_load_the_slow_kind_gets_no_traffic() {
+fn at_light_load_the_slow_machine_type_gets_no_traffic() {
     assert_shares(halb_shares(&FAST_AND_SLOW, Some(2.0)), &[1.0, 0.0]);
     assert_shares(halb_shares(&FAST_AND_SLOW, Some(1.0)), &[1.0, 0.0]);
 }
 
 #[test]
-fn a_clamped_kind_is_removed_and_the_rest_is_solved_again() {
+fn a_clamped_machine_type_is_removed_and_the_rest_is_solved_again() {
     // Of all three: roots 6, speeds 14, the third flow is 1 - 8.5 / 6 < 0.
     // Of the first two: roots 5, speeds 13, flows 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
-    let kinds = [(1.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
-    assert_shares(halb_shares(&kinds, Some(5.5)), &[4.5 / 5.5, 1.0 / 5.5, 0.0]);
+    let groups = [group(1.0, 9.0), group(1.0, 4.0), group(1.0, 1.0)];
+    assert_shares(
+        halb_shares(&groups, Some(5.5)),
+        &[4.5 / 5.5, 1.0 / 5.5, 0.0],
+    );
 }
 
 #[test]
-fn kinds_are_weighted_by_their_ready_counts_which_may_be_fractions() {
+fn machine_types_are_weighted_by_their_ready_counts_which_may_be_fractions() {
     // Roots 2 * 2 + 0.5 = 4.5, speeds 8.5.
-    let kinds = [(2.0, 4.0), (0.5, 1.0)];
+    let groups = [group(2.0, 4.0), group(0.5, 1.0)];
     // At 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
-    assert_shares(halb_shares(&kinds, Some(4.0)), &[1.0, 0.0]);
+    assert_shares(halb_shares(&groups, Some(4.0)), &[1.0, 0.0]);
     // At 6.25 a second (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
-    assert_shares(halb_shares(&kinds, Some(6.25)), &[0.96, 0.04]);
+    assert_shares(halb_shares(&groups, Some(6.25)), &[0.96, 0.04]);
 }
 
 #[test]
@@ -68,16 +78,16 @@
 
 #[test]
 fn without_a_known_rate_traffic_is_shared_by_ready_counts() {
-    let kinds = [(3.0, 4.0), (1.0, 1.0), (0.0, 9.0)];
-    assert_shares(halb_shares(&kinds, None), &[0.75, 0.25, 0.0]);
+    let groups = [group(3.0, 4.0), group(1.0, 1.0), group(0.0, 9.0)];
+    assert_shares(halb_shares(&groups, None), &[0.75, 0.25, 0.0]);
 }
 
 #[test]
-fn at_a_rate_near_zero_the_fastest_ready_kind_takes_all_traffic() {
+fn at_a_rate_near_zero_the_fastest_ready_machine_type_takes_all_traffic() {
     assert_shares(halb_shares(&FAST_AND_SLOW, Some(0.0)), &[1.0, 0.0]);
-    let equally_fast = [(1.0, 4.0), (3.0, 4.0)];
+    let equally_fast = [group(1.0, 4.0), group(3.0, 4.0)];
     assert_shares(halb_shares(&equally_fast, Some(0.0)), &[0.25, 0.75]);
-    let fastest_not_ready = [(0.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
+    let fastest_not_ready = [group(0.0, 9.0), group(1.0, 4.0), group(1.0, 1.0)];
     assert_shares(
         halb_shares(&fastest_not_ready, Some(1e-12)),
         &[0.0, 1.0, 0.0],
@@ -85,14 +95,14 @@
 }
 
 #[test]
-fn a_single_ready_kind_takes_all_traffic_and_without_one_nothing_is_shared() {
-    assert_shares(halb_shares(&[(2.0, 3.0)], Some(1.0)), &[1.0]);
+fn a_single_ready_machine_type_takes_all_traffic_and_without_one_nothing_is_shared() {
+    assert_shares(halb_shares(&[group(2.0, 3.0)], Some(1.0)), &[1.0]);
     assert_shares(
-        halb_shares(&[(0.0, 3.0), (0.0, 1.0)], Some(1.0)),
+        halb_shares(&[group(0.0, 3.0), group(0.0, 1.0)], Some(1.0)),
         &[0.0, 0.0],
     );
     assert_shares(
-        halb_shares(&[(0.0, 3.0), (2.0, 1.0)], Some(1.0)),
+        halb_shares(&[group(0.0, 3.0), group(2.0, 1.0)], Some(1.0)),
         &[0.0, 1.0],
     );
     assert_shares(halb_shares(&[], Some(1.0)), &[]);
