--- /dev/null
+++ b/crates/proxy/src/driver/actions.rs
@@ -0,0 +1,96 @@
+//! Carries out the balancer's actions: starts and cancels attempts, responds to clients, sets
+//! timers and limits, and writes to the log.
+
+use super::balancer_log;
+use super::in_flight_attempt::{self, InFlightAttempt};
+use super::Driver;
+use crate::attempt::{Attempt, AttemptDeadlines, SendProgress};
+use crate::message::{AttemptId, FinalResponse};
+use crate::upstream::Upstream;
+use brookstack_balancer::{Action, BackendId, RequestId, Time};
+use std::rc::Rc;
+
+impl Driver {
+    /// Carries out one action of the tick at `now`.
+    pub(super) fn carry_out(&mut self, now: Time, action: Action) {
+        match action {
+            Action::Dispatch { request, backend } => self.dispatch(now, request, backend),
+            Action::Reject { request } => {
+                let retry_after = self.balancer.retry_after();
+                self.respond(request, FinalResponse::Rejected(retry_after));
+            }
+            Action::Fail { request } => self.respond(request, FinalResponse::Failed),
+            Action::Cancel { request, attempt } => {
+                let id = AttemptId { request, attempt };
+                self.pending.cancel_attempt(id, now, &mut self.balancer);
+            }
+            Action::SetTimer { token, after } => self.balancer.set_timer(now + after, token),
+            Action::LimitIdleConnections { max_idle } => self.pool.set_max_idle(max_idle as usize),
+            Action::WatchEndpoints => self.watch_requested.notify_one(),
+            Action::Log(event) => balancer_log::write(event, &self.upstreams),
+        }
+    }
+
+    /// Sends a final response. The clock is read anew because a tick with many responses may take
+    /// a while.
+    pub(super) fn respond(&mut self, request: RequestId, response: FinalResponse) {
+        let now = self.clock.now();
+        self.pending
+            .respond(request, response, now, &mut self.balancer);
+    }
+
+    /// Starts an attempt, or reports at once that it was not sent.
+    pub(super) fn dispatch(&mut self, now: Time, request: RequestId, backend: BackendId) {
+        let Some(pending) = self.pending.get_mut(request) else {
+            return;
+        };
+        let id = AttemptId {
+            request,
+            attempt: pending.next_attempt_number(),
+        };
+        // Since the balancer's decision the request may have been settled, or the backend may have
+        // started to drain or been removed.
+        let settled = !pending.is_owed_response();
+        let may_send = !settled && pending.deadline > now;
+        match self.upstreams.accepting(backend) {
+            Some(upstream) if may_send => {
+                self.free_socket_if_full();
+                self.start_attempt(now, id, upstream);
+            }
+            Some(_) | None => {
+                let not_sent = in_flight_attempt::not_sent(id, settled);
+                self.balancer.report(not_sent);
+            }
+        }
+    }
+
+    /// If all sockets are taken, closes an idle connection to any backend, so that the next attempt
+    /// can connect.
+    fn free_socket_if_full(&self) {
+        if !self.pool.is_full() {
+            return;
+        }
+        if let Some(address) = self.pool.close_idle(1) {
+            tracing::debug!("sockets are short: closed a connection to {address}");
+        }
+    }
+
+    fn start_attempt(&mut self, now: Time, id: AttemptId, upstream: Rc<Upstream>) {
+        let Some(pending) = self.pending.get_mut(id.request) else {
+            return;
+        };
+        let attempt = Attempt {
+            pool: self.pool.clone(),
+            upstream,
+            request: pending.forwarded.clone(),
+            deadlines: AttemptDeadlines {
+                send_by: self.balancer.send_by(id.request),
+                deadline: pending.deadline,
+            },
+            progress: Rc::new(SendProgress::default()),
+        };
+        let event_sender = self.event_sender.clone();
+        let in_flight = InFlightAttempt::start(id, now, attempt, event_sender);
+        pending.attempts.insert(id.attempt, in_flight);
+    }
+}
--- a/crates/proxy/src/driver/in_flight_attempt.rs
+++ b/crates/proxy/src/driver/in_flight_attempt.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{Attempt, SendProgress};
 use crate::backend_response::AttemptResult;
 use crate::message::{AttemptId, DriverEvent};
-use brookstack_balancer::{AttemptEnd, Event, Outcome, Time};
+use brookstack_balancer::{AttemptEnd, Event, Micros, Outcome, Time};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -87,6 +87,17 @@
     }
 }
 
+/// The balancer's event for an attempt that ended before it was started.
+pub fn not_sent(id: AttemptId, settled: bool) -> Event {
+    Event::AttemptEnded(AttemptEnd {
+        request: id.request,
+        attempt: id.attempt,
+        outcome: Outcome::NotSent,
+        latency: Micros(0),
+        settled,
+    })
+}
+
 /// Reports the end of an attempt however its task ends, also by a panic: the request may have been
 /// executed then.
 struct AttemptGuard {
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -1,9 +1,10 @@
 //! The requests that are owed a response or have attempts in flight, and their deadlines.
 
+use super::balancer_host::BalancerHost;
 use super::in_flight_attempt::{AbortReason, InFlightAttempt};
 use crate::forwarded_request::ForwardedRequest;
 use crate::message::{AttemptId, FinalResponse, IncomingRequest};
-use brookstack_balancer::{AttemptNumber, Event, Micros, RequestId, Time};
+use brookstack_balancer::{AttemptNumber, Micros, RequestId, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -47,13 +48,13 @@
     }
 
     /// Aborts the attempts that have not been sent completely.
-    fn cancel_unsent_attempts(&mut self, now: Time, events: &mut Vec<Event>) {
+    fn cancel_unsent_attempts(&mut self, now: Time, balancer: &mut BalancerHost) {
         let (sent, unsent): (HashMap<_, _>, HashMap<_, _>) = std::mem::take(&mut self.attempts)
             .into_iter()
             .partition(|(_, attempt)| attempt.progress.is_complete());
         self.attempts = sent;
         for attempt in unsent.into_values() {
-            events.push(attempt.abort(now, AbortReason::Cancelled, true));
+            balancer.report(attempt.abort(now, AbortReason::Cancelled, true));
         }
     }
 }
@@ -116,9 +117,10 @@
         self.requests.insert(incoming.id, pending);
     }
 
-    /// A request.
-    pub fn get(&self, request: RequestId) -> Option<&PendingRequest> {
-        self.requests.get(&request)
+    /// The time until a request's deadline; zero if there is no such request.
+    pub fn time_left(&self, request: RequestId, now: Time) -> Micros {
+        let pending = self.requests.get(&request);
+        pending.map_or(Micros(0), |pending| pending.deadline - now)
     }
 
     /// A request, to be changed.
@@ -157,38 +159,38 @@
         request: RequestId,
         response: FinalResponse,
         now: Time,
-        events: &mut Vec<Event>,
+        balancer: &mut BalancerHost,
     ) {
         if let Some(pending) = self.requests.get_mut(&request) {
             pending.respond(response);
         }
-        self.settle(request, now, events);
+        self.settle(request, now, balancer);
     }
 
     /// Nobody waits for the request any more: what has not been sent completely is aborted, also
     /// where attempts may not be cancelled, for a backend starts with the last byte. The balancer
     /// decides about the other attempts.
-    pub fn settle(&mut self, request: RequestId, now: Time, events: &mut Vec<Event>) {
+    pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
         let Some(pending) = self.requests.get_mut(&request) else {
             return;
         };
-        pending.cancel_unsent_attempts(now, events);
+        pending.cancel_unsent_attempts(now, balancer);
         self.mark_if_finished(request);
     }
 
     /// Cancels an attempt for the balancer.
-    pub fn cancel_attempt(&mut self, id: AttemptId, now: Time, events: &mut Vec<Event>) {
+    pub fn cancel_attempt(&mut self, id: AttemptId, now: Time, balancer: &mut BalancerHost) {
         let Some(attempt) = self.remove_attempt(id) else {
             return;
         };
         let settled = !self.is_owed_response(id.request);
-        events.push(attempt.abort(now, AbortReason::Cancelled, settled));
+        balancer.report(attempt.abort(now, AbortReason::Cancelled, settled));
         self.mark_if_finished(id.request);
     }
 
     /// Ends, as timed out, the attempts in flight whose deadline has passed; the balancer still
     /// owes the response.
-    pub fn expire_deadlines(&mut self, now: Time, events: &mut Vec<Event>) {
+    pub fn expire_deadlines(&mut self, now: Time, balancer: &mut BalancerHost) {
         while self.next_deadline().is_some_and(|at| at <= now) {
             let Some(DueTime { at, request }) = self.deadlines.pop_first() else {
                 return;
@@ -198,7 +200,7 @@
             };
             let settled = !pending.is_owed_response();
             for (_, attempt) in pending.attempts.drain() {
-                events.push(attempt.abort(now, AbortReason::DeadlineExceeded, settled));
+                balancer.report(attempt.abort(now, AbortReason::DeadlineExceeded, settled));
             }
             if !settled {
                 self.grace_ends.push_back(DueTime {
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -1,7 +1,9 @@
+use super::in_flight_attempt::InFlightAttempt;
 use super::*;
+use crate::attempt::SendProgress;
 use crate::test_fixtures::{empty_request, resolved_endpoint};
 use crate::tracked_stream::StreamProgress;
-use brookstack_balancer::{AttemptNumber, BackendState, ClassId};
+use brookstack_balancer::{AttemptNumber, BackendId, BackendState, ClassId, Outcome};
 use bytes::Bytes;
 use hyper::Response;
 use std::net::{SocketAddr, TcpListener};
@@ -20,12 +22,16 @@
 
 impl TestDriver {
     fn new() -> TestDriver {
+        TestDriver::with_config(Config::example())
+    }
+
+    fn with_config(balancer_config: Config) -> TestDriver {
         let clock = Clock::new();
         let second = Micros(1_000_000);
         let (sender, events) = mpsc::unbounded_channel();
         let mut driver = Driver::new(DriverParts {
             clock,
-            balancer_config: Config::example(),
+            balancer_config,
             seed: 1,
             max_pending_requests: 8,
             pool: Rc::new(ConnectionPool::new(clock, second, second, 8)),
@@ -68,7 +74,7 @@
         let local = tokio::task::LocalSet::new();
         local
             .run_until(async {
-                let now = self.driver.parts.clock.now();
+                let now = self.driver.clock.now();
                 self.driver.dispatch(now, REQUEST, BACKEND);
                 tokio::task::yield_now().await;
             })
@@ -77,7 +83,7 @@
 
     /// Adds the request's first attempt, as if it had been dispatched and had come so far.
     fn add_first_attempt(&mut self, progress: Rc<SendProgress>, task: AbortHandle) {
-        let dispatched_at = self.driver.parts.clock.now();
+        let dispatched_at = self.driver.clock.now();
         let pending = self.driver.pending.get_mut(REQUEST).expect("pending");
         let attempt = pending.next_attempt_number();
         let in_flight = InFlightAttempt {
@@ -94,11 +100,9 @@
 
     /// Attempt, outcome and whether the request is settled, as of the last event for the balancer.
     fn last_attempt_end(&self) -> (AttemptNumber, Outcome, bool) {
-        let Some(Event::AttemptEnded(end)) = self.driver.events.last() else {
-            panic!(
-                "expected the end of an attempt, got {:?}",
-                self.driver.events.last()
-            )
+        let last_event = self.driver.balancer.reported_events().last();
+        let Some(Event::AttemptEnded(end)) = last_event else {
+            panic!("expected the end of an attempt, got {last_event:?}")
         };
         (end.attempt, end.outcome, end.settled)
     }
@@ -153,8 +157,9 @@
 #[tokio::test]
 async fn a_client_that_disconnects_ends_attempts_that_are_not_completely_written() {
     for write_completed in [false, true] {
-        let mut test = TestDriver::new();
-        test.driver.parts.balancer_config.cancellation_allowed = false;
+        let mut config = Config::example();
+        config.cancellation_allowed = false;
+        let mut test = TestDriver::with_config(config);
         let stream_progress = Rc::new(StreamProgress::default());
         stream_progress.write_started.set(true);
         stream_progress.write_completed.set(write_completed);
@@ -166,7 +171,7 @@
             .handle_event(DriverEvent::ClientDisconnected(REQUEST));
         tokio::task::yield_now().await;
         assert_eq!(task.is_finished(), !write_completed);
-        let pending = test.driver.pending.get(REQUEST).expect("pending");
+        let pending = test.driver.pending.get_mut(REQUEST).expect("pending");
         assert_eq!(pending.attempts.len(), usize::from(write_completed));
     }
 }
@@ -193,7 +198,7 @@
         matches!(test.response.try_recv(), Ok(FinalResponse::Served(_))),
         "at once"
     );
-    let now = test.driver.parts.clock.now();
+    let now = test.driver.clock.now();
     test.driver.dispatch(now, REQUEST, BACKEND);
     assert_eq!(
         test.last_attempt_end(),
