--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -33,6 +33,20 @@
     Rc::new(Upstream::new(endpoint))
 }
 
+/// An attempt of a request without headers or body, which has 30 s for its response.
+fn attempt(pool: &Rc<ConnectionPool>, upstream: &Rc<Upstream>) -> Attempt {
+    Attempt {
+        pool: pool.clone(),
+        upstream: upstream.clone(),
+        request: empty_request(),
+        deadlines: AttemptDeadlines {
+            send_by: None,
+            deadline: pool.clock.now() + Micros(30_000_000),
+        },
+        progress: Rc::default(),
+    }
+}
+
 /// Of many upstreams only those that hold idle connections are visited, and each of those stays on
 /// the pool's list until it holds none.
 #[tokio::test]
@@ -40,11 +54,6 @@
     let clock = Clock::new();
     let second = Micros(1_000_000);
     let pool = Rc::new(ConnectionPool::new(clock, second, second.times(600.0), 64));
-    let request = empty_request();
-    let deadlines = AttemptDeadlines {
-        send_by: None,
-        deadline: clock.now() + second.times(30.0),
-    };
     let one = upstream(1, start_backend(1));
     let three = upstream(2, start_backend(3));
     let _unused: Vec<_> = (3..1000)
@@ -52,13 +61,7 @@
         .collect();
     let local = tokio::task::LocalSet::new();
     let attempts = [&one, &three, &three, &three].map(|upstream| {
-        let attempt = Attempt {
-            pool: pool.clone(),
-            upstream: upstream.clone(),
-            request: request.clone(),
-            deadlines,
-            progress: Rc::default(),
-        };
+        let attempt = attempt(&pool, upstream);
         local.spawn_local(async move { attempt.run().await.outcome })
     });
     let check = async {
