--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -7,7 +7,7 @@
 //! - this module puts the parts together, runs the event loop and starts the balancer's ticks;
 //! - `balancer_host` holds the balancer with its timers and the events for its next tick;
 //! - `actions` carries out the balancer's actions, and `balancer_log` writes its log lines;
-//! - `pending_requests` holds the requests, and `in_flight_attempt` the attempts that are under way;
+//! - `pending_requests` holds the requests, `in_flight_attempt` their attempts under way;
 //! - `upstreams` holds the backends of the endpoint list;
 //! - `wakeup_timer` wakes the event loop when something is due.
 
--- /dev/null
+++ b/crates/proxy/src/driver/balancer_log/tests.rs
@@ -0,0 +1,85 @@
+use super::*;
+use crate::test_fixtures::resolved_endpoint;
+use brookstack_balancer::{BackendState, EndpointUpdate};
+use std::io::Write;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+
+const EJECTED: LogEvent = LogEvent::BackendEjected {
+    backend: BackendId(7),
+    outcome: Outcome::Reset,
+};
+
+/// The log of a test, as text.
+#[derive(Clone, Default)]
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
+
+impl Write for LogBuffer {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().expect("no panic").extend_from_slice(bytes);
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+/// The line that is written for an event, from its level on, without the time and the module.
+fn logged_line(event: LogEvent, upstreams: &Upstreams) -> String {
+    let buffer = LogBuffer::default();
+    let writer = buffer.clone();
+    let subscriber = tracing_subscriber::fmt()
+        .with_writer(move || writer.clone())
+        .with_ansi(false)
+        .with_target(false)
+        .without_time()
+        .finish();
+    tracing::subscriber::with_default(subscriber, || write(event, upstreams));
+    let bytes = buffer.0.lock().expect("no panic").clone();
+    let text = String::from_utf8(bytes).expect("UTF-8");
+    text.trim().to_string()
+}
+
+/// The upstreams of an endpoint list with the one backend 7.
+fn upstreams_with_backend(state: BackendState) -> Upstreams {
+    let address = SocketAddr::from(([10, 0, 0, 7], 8080));
+    let mut upstreams = Upstreams::default();
+    for state in [BackendState::Ready, state] {
+        let target = resolved_endpoint(7, state, address);
+        upstreams.apply(EndpointUpdate::Delta, vec![target]);
+    }
+    upstreams
+}
+
+#[test]
+fn an_ejection_is_logged_with_the_address_and_the_outcome() {
+    for state in [BackendState::Ready, BackendState::Draining] {
+        assert_eq!(
+            logged_line(EJECTED, &upstreams_with_backend(state)),
+            "INFO backend ejected address=10.0.0.7:8080 outcome=Reset"
+        );
+    }
+}
+
+#[test]
+fn an_ejection_of_a_backend_that_has_left_the_list_says_so() {
+    let upstreams = upstreams_with_backend(BackendState::Removed);
+    assert_eq!(
+        logged_line(EJECTED, &upstreams),
+        "INFO backend ejected; it has left the endpoint list id=7 outcome=Reset"
+    );
+}
+
+#[test]
+fn a_failed_and_an_unanswered_watch_are_told_apart() {
+    let upstreams = Upstreams::default();
+    assert_eq!(
+        logged_line(LogEvent::WatchFailed, &upstreams),
+        "INFO discovery watch failed, polling again"
+    );
+    assert_eq!(
+        logged_line(LogEvent::WatchTimedOut, &upstreams),
+        "INFO discovery watch timed out, polling again"
+    );
+}
