--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,6 @@
-//! Reloading the configuration at SIGHUP. Only the address of discovery is taken up; other changes
-//! wait for a restart and are listed in the log. The proxy goes on serving from the endpoint list
-//! that it holds.
+//! Reloading the configuration at SIGHUP. Only a new address of discovery takes effect; the other
+//! changes are listed in the log and take effect at the next start. The proxy goes on serving from
+//! the endpoint list that it holds.
 
 use crate::config::{self, Config};
 use serde_json::Value;
@@ -8,11 +8,13 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// The key whose new value a running proxy takes up.
+/// The key whose new value takes effect in a running proxy.
 const RELOADED_KEY: &str = "discovery";
 
-/// Reloads the configuration at each SIGHUP and sends the address of discovery if it is another
-/// one. A file that cannot be used changes nothing.
+/// Reloads the configuration at each SIGHUP and sends the address of discovery if it has changed. A
+/// file that cannot be used changes nothing.
+///
+/// `running` is the document that the proxy was started with.
 pub async fn reload_at_hangup(
     mut hangup: Signal,
     running: Value,
@@ -20,7 +22,7 @@
 ) {
     while hangup.recv().await.is_some() {
         match config::load() {
-            Ok(newer) => take_up(&running, &newer, &discovery),
+            Ok(newer) => apply(&running, &newer, &discovery),
             Err(error) => {
                 tracing::warn!("configuration not reloaded, it stays as it was: {error}");
             }
@@ -28,14 +30,16 @@
     }
 }
 
-fn take_up(running: &Value, newer: &Config, discovery: &watch::Sender<SocketAddr>) {
+/// Applies a new configuration, and logs the changed keys that wait for a restart.
+fn apply(running: &Value, newer: &Config, discovery: &watch::Sender<SocketAddr>) {
     let address = newer.discovery;
-    let not_taken_up = keys_not_taken_up(running, &newer.document).join(", ");
-    if not_taken_up.is_empty() {
+    let waiting_keys = keys_waiting_for_restart(running, &newer.document).join(", ");
+    if waiting_keys.is_empty() {
         tracing::info!("configuration reloaded, discovery at {address}");
     } else {
         tracing::info!(
-            "configuration reloaded, discovery at {address}; not taken up before a restart: {not_taken_up}"
+            "configuration reloaded, discovery at {address}; \
+             not taken up before a restart: {waiting_keys}"
         );
     }
     discovery.send_if_modified(|current| {
@@ -45,15 +49,15 @@
     });
 }
 
-/// The paths of the changed values that a running proxy does not take up.
-fn keys_not_taken_up(running: &Value, newer: &Value) -> Vec<String> {
+/// The paths of the changed values that take effect only at the next start.
+fn keys_waiting_for_restart(running: &Value, newer: &Value) -> Vec<String> {
     let mut paths = Vec::new();
     collect_differences(String::new(), running, newer, &mut paths);
     paths.retain(|path| path != RELOADED_KEY);
     paths
 }
 
-/// Adds the paths at which two documents differ. A missing member is equal to `null`.
+/// Adds the paths at which two documents differ. A missing member counts as `null`.
 fn collect_differences(path: String, old: &Value, new: &Value, paths: &mut Vec<String>) {
     let (Value::Object(old_members), Value::Object(new_members)) = (old, new) else {
         if old != new {
@@ -67,10 +71,12 @@
     for key in old_members.keys().chain(added) {
         let old_member = old_members.get(key).unwrap_or(&Value::Null);
         let new_member = new_members.get(key).unwrap_or(&Value::Null);
-        collect_differences(member_path(&path, key), old_member, new_member, paths);
+        let member_path = member_path(&path, key);
+        collect_differences(member_path, old_member, new_member, paths);
     }
 }
 
+/// The path of an object's member, in the form `settings.limits.sockets`.
 fn member_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_string()
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -3,9 +3,9 @@
 //! - `listener` accepts connections until the shutdown, `shutdown` drains them;
 //! - `connection_table` holds the open connections and limits their number;
 //! - `client_connection` is the state of one connection, `connection_task` serves it;
-//! - `client_socket` is its socket, which notices a disconnect behind unread bytes;
-//! - `request_handler` takes a request from its head to its final response, with `request_validation` and
-//!   `body_memory`.
+//! - `client_socket` is its socket, which notices a disconnect even behind unread bytes;
+//! - `request_handler` takes a request from its head to its final response, with
+//!   `request_validation` and `body_memory`.
 
 mod body_memory;
 mod client_connection;
@@ -45,13 +45,13 @@
     pub names: Names,
     /// The classes, by `ClassId`.
     pub classes: Vec<Class>,
-    /// The longest time that a client waits for a response; a longer one is reduced to it.
+    /// The longest time that a client may wait for a response; a longer one is reduced to it.
     pub max_time_left: Micros,
     /// The tick of the balancer.
     pub tick: Micros,
     /// The client connections that may be open at a time.
     pub max_connections: usize,
-    /// The bytes that the bodies of open requests may hold together.
+    /// The memory that the bodies of all open requests may hold together, in bytes.
     pub max_body_memory: usize,
 }
 
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Serves clients until the shutdown signal; returns when all requests that were received are
-    /// answered.
+    /// Serves clients until the shutdown signal. Returns when all requests that were received have
+    /// been answered.
     pub async fn run(
         self: Rc<Self>,
         listener: TcpListener,
--- a/crates/proxy/src/server/connection_task.rs
+++ b/crates/proxy/src/server/connection_task.rs
@@ -13,28 +13,29 @@
 use hyper_util::rt::TokioIo;
 use std::error::Error;
 use std::future::poll_fn;
+use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The largest head of a request, several times the size of a usual one.
+/// The largest head of a request, in bytes: several times the size of a usual one.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The bytes that a lingering close discards at most. It follows the response to an invalid
-/// request: an immediate close would reset the connection while more bytes arrive, and the client
-/// could lose the response.
+/// The most bytes that a lingering close discards. A lingering close follows the response to an
+/// invalid request. An immediate close would reset the connection while more bytes arrive, and the
+/// client could lose the response.
 const MAX_LINGER_BYTES: usize = 4 * MAX_BODY_BYTES;
-/// The time that a lingering close takes at most, so that a client which goes on sending frees its
-/// connection.
+/// The longest time that a lingering close takes. Without a limit a client that goes on sending
+/// would keep its connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The buffer into which a lingering close reads what it discards.
 const LINGER_BUFFER_BYTES: usize = 8 << 10;
 
-/// How a connection has stopped to serve requests.
+/// Why a connection has stopped serving requests.
 enum ServeEnd {
-    /// hyper has ended it: all is written, or it has failed.
+    /// hyper has ended the connection: everything is written, or it has failed.
     Finished(hyper::Result<()>),
-    /// It is to be dropped at once.
+    /// The connection is to be dropped at once.
     Aborted,
 }
 
@@ -58,7 +59,7 @@
 }
 
 impl CloseProgress {
-    /// Decides what to do about a request to close, and notes it.
+    /// Decides what to do when the connection is asked to close, and records the decision.
     fn advance(&mut self, connection: &ClientConnection, socket: &ClientSocket) -> CloseAction {
         let action = self.next_action(connection, socket);
         match action {
@@ -71,8 +72,8 @@
 
     fn next_action(&self, connection: &ClientConnection, socket: &ClientSocket) -> CloseAction {
         match connection.phase() {
-            // A request that has arrived is served, even if it has not been read; but the close is
-            // put off only once, for some clients always send a little more.
+            // A request that has arrived is served, even if it has not been read. The close is put
+            // off only once, because some clients always send a little more.
             ConnectionPhase::AwaitingHead { .. } | ConnectionPhase::ReadingBody
                 if !self.was_deferred && socket.has_unread_bytes() =>
             {
@@ -107,6 +108,7 @@
         });
     }
 
+    /// Serves the requests of a connection and closes it.
     async fn serve_connection(&self, socket: ClientSocket, connection: &ClientConnection) {
         let service = service_fn(|request| Box::pin(self.handle(request, connection)));
         let mut builder = http1::Builder::new();
@@ -149,14 +151,17 @@
     loop {
         tokio::select! {
             biased;
-            result = poll_fn(|cx| http.poll_without_shutdown(cx)) => return ServeEnd::Finished(result),
+            result = poll_fn(|cx| http.poll_without_shutdown(cx)) => {
+                return ServeEnd::Finished(result);
+            }
             // Nobody waits for the response any more.
             () = connection.disconnected_awaiting_response(socket) => return ServeEnd::Aborted,
-            () = connection.close_requested() => match close_progress.advance(connection, socket) {
-                CloseAction::Defer => connection.clear_close_request(),
-                CloseAction::FinishResponse => std::pin::Pin::new(&mut *http).graceful_shutdown(),
-                CloseAction::Abort => return ServeEnd::Aborted,
-            },
+            () = connection.close_requested() => {}
+        }
+        match close_progress.advance(connection, socket) {
+            CloseAction::Defer => connection.clear_close_request(),
+            CloseAction::FinishResponse => Pin::new(&mut *http).graceful_shutdown(),
+            CloseAction::Abort => return ServeEnd::Aborted,
         }
     }
 }
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -15,6 +15,12 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Server {
+    /// Notes that the shutdown has begun, with the deadlines that follow from it.
+    fn begin_shutdown(&self) {
+        let shutdown = Shutdown::begin(self.clock.now(), self.rules.max_time_left);
+        self.shutdown.set(Some(shutdown));
+    }
+
     /// Accepts connections until [`SHUTDOWN_ACCEPT_PERIOD`] after the shutdown signal.
     pub(super) async fn accept_until_shutdown(
         self: &Rc<Self>,
@@ -34,7 +40,7 @@
             tokio::select! {
                 biased;
                 () = &mut shutdown_signal, if !is_shutting_down => {
-                    self.shutdown.set(Some(Shutdown::begin(self.clock.now(), self.rules.max_time_left)));
+                    self.begin_shutdown();
                     accept_end.as_mut().reset(Instant::now() + SHUTDOWN_ACCEPT_PERIOD);
                 }
                 () = &mut accept_end, if is_shutting_down => return,
