--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -3,6 +3,7 @@
 
 use crate::backend_connection::BackendConnection;
 use crate::backend_response::AttemptResult;
+use crate::clock::MICROS_PER_MILLISECOND;
 use crate::connection_pool::{ConnectError, ConnectionPool, ReusedConnection};
 use crate::forwarded_request::{ForwardedRequest, TIME_LEFT_HEADER};
 use crate::tracked_stream::StreamProgress;
@@ -15,8 +16,6 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-const MICROS_PER_MILLISECOND: u64 = 1_000;
-
 /// The times by which an attempt must have come to a certain point.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
@@ -38,8 +37,8 @@
 
     /// Some byte of the request was handed to the socket. Until then it has not been sent.
     pub fn has_started(&self) -> bool {
-        let progress = self.0.borrow();
-        progress
+        let tracked = self.0.borrow();
+        tracked
             .as_ref()
             .is_some_and(|progress| progress.write_started.get())
     }
@@ -47,8 +46,8 @@
     /// All bytes of the request were handed to the socket. Until then the backend cannot execute
     /// it.
     pub fn is_complete(&self) -> bool {
-        let progress = self.0.borrow();
-        progress
+        let tracked = self.0.borrow();
+        tracked
             .as_ref()
             .is_some_and(|progress| progress.write_completed.get())
     }
@@ -136,7 +135,8 @@
             ..
         } = acquired;
         let time_left = self.deadlines.deadline - self.pool.clock.now();
-        let request = request_with_time_left(&self.request, time_left.0 / MICROS_PER_MILLISECOND);
+        let time_left_millis = time_left.0 / MICROS_PER_MILLISECOND;
+        let request = request_with_time_left(&self.request, time_left_millis);
         connection.progress.reset();
         self.progress.track(connection.progress.clone());
         let Ok(response) = connection.exchange(request).await else {
--- a/crates/proxy/src/backend_response.rs
+++ b/crates/proxy/src/backend_response.rs
@@ -1,9 +1,9 @@
 //! What a backend's response means for the attempt that got it.
 
-use crate::forwarded_request::remove_hop_by_hop_headers;
+use crate::forwarded_request::{connection_options, remove_hop_by_hop_headers};
 use brookstack_balancer::Outcome;
 use bytes::Bytes;
-use hyper::header::{HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::header::{HeaderMap, HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
 
 /// A backend sets this header to `1` on a 503 or 504 if it did not start to process the request.
@@ -83,13 +83,5 @@
 
 /// Whether the backend announces that it closes the connection after this response.
 fn closes_connection(headers: &HeaderMap) -> bool {
-    let mut values = headers
-        .get_all(CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok());
-    values.any(|value| {
-        value
-            .split(',')
-            .any(|option| option.trim().eq_ignore_ascii_case("close"))
-    })
+    connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -4,6 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
+/// Microseconds in a millisecond.
+pub const MICROS_PER_MILLISECOND: u64 = 1_000;
 /// The furthest that [`Clock::instant`] looks ahead.
 const MAX_AHEAD: Micros = Micros(3_600_000_000);
 
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -129,8 +129,7 @@
                 count,
             } = upstream.idle.borrow_mut().pop()?;
             drop(count);
-            let is_fresh = self.clock.now() - idle_since < self.idle_timeout;
-            if is_fresh && connection.is_reusable().await {
+            if self.is_fresh(idle_since) && connection.is_reusable().await {
                 return Some(ReusedConnection {
                     idle_since,
                     connection,
@@ -194,10 +193,14 @@
         }
     }
 
+    /// Whether a connection has not been idle for too long.
+    fn is_fresh(&self, idle_since: Time) -> bool {
+        self.clock.now() - idle_since < self.idle_timeout
+    }
+
     async fn close_expired_of(&self, upstream: &Rc<Upstream>) {
         let mut idle = std::mem::take(&mut *upstream.idle.borrow_mut());
-        let expired_before = Time(self.clock.now().0.saturating_sub(self.idle_timeout.0));
-        idle.retain(|connection| connection.idle_since > expired_before);
+        idle.retain(|connection| self.is_fresh(connection.idle_since));
         for IdleConnection {
             idle_since,
             mut connection,
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -94,15 +94,14 @@
     /// out, its connection, the pause after a failure and the version, which means something to the
     /// old service alone.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
-        let is_push = self.mode == DiscoveryMode::Push;
-        if is_push {
+        if self.is_push() {
             // The proxy counts as notified of what the agent has from the first moment. The version
             // of the cached list may come from an agent that has restarted since, which would then
             // wait for changes that it already has.
             self.version = None;
         }
         // Pushed lists are watched from the start, others once the balancer requests a poll.
-        let mut poll_at_once = is_push;
+        let mut poll_at_once = self.is_push();
         loop {
             let address = *addresses.borrow_and_update();
             tokio::select! {
@@ -137,23 +136,32 @@
                     self.take_list(list);
                 }
                 Err(error) => {
-                    // The list at hand stays in force.
-                    connection = None;
                     tracing::warn!("discovery: {error}");
-                    if self.mode == DiscoveryMode::Push {
-                        // An agent that restarts may count versions from the start again; the
-                        // complete list costs it nothing.
-                        self.version = None;
-                        backoff.pause().await;
-                    } else {
-                        poll_at_once = false;
-                        self.send(error.endpoint_update(), Vec::new());
-                    }
+                    connection = None;
+                    poll_at_once = self.is_push();
+                    self.handle_failure(&error, &mut backoff).await;
                 }
             }
         }
     }
 
+    /// Prepares the next call after one that failed. The endpoint list at hand stays in use.
+    async fn handle_failure(&mut self, error: &WatchError, backoff: &mut Backoff) {
+        if self.is_push() {
+            // An agent that has restarted may count versions from the start again. A complete list
+            // costs an agent nothing, so the next call asks for one.
+            self.version = None;
+            backoff.pause().await;
+        } else {
+            self.send(error.endpoint_update(), Vec::new());
+        }
+    }
+
+    /// Whether an agent pushes the lists, so that the balancer need not request polls.
+    fn is_push(&self) -> bool {
+        self.mode == DiscoveryMode::Push
+    }
+
     /// Records the version of a list and hands the list to the driver.
     fn take_list(&mut self, list: EndpointList) {
         // Changes with a version below the one at hand come from a service that counts from the
@@ -165,8 +173,9 @@
         } else {
             EndpointUpdate::Delta
         };
-        let is_push = self.mode == DiscoveryMode::Push;
-        if list.is_snapshot || !list.endpoints.is_empty() || !is_push {
+        // The balancer counts an empty delta as the answer to a poll that it requested.
+        let answers_poll = !self.is_push();
+        if list.is_snapshot || !list.endpoints.is_empty() || answers_poll {
             self.send(update, list.endpoints);
         }
     }
@@ -178,7 +187,7 @@
 
     /// How long the service may hold the next call open.
     fn next_wait(&mut self) -> Duration {
-        if self.mode == DiscoveryMode::Push {
+        if self.is_push() {
             return PUSH_WAIT;
         }
         let fraction = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
--- a/crates/proxy/src/discovery/watch/tests.rs
+++ b/crates/proxy/src/discovery/watch/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::TcpListener;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
 /// How the scripted discovery service responds to a call.
@@ -36,17 +36,11 @@
     let mut script = script.into_iter();
     let mut unanswered = Vec::new();
     loop {
-        let stream = BufReader::new(listener.accept().await.expect("a connection").0);
-        let mut lines = stream.lines();
-        while let Ok(Some(line)) = lines.next_line().await {
-            if !line.is_empty() {
-                if let Some(target) = line.strip_prefix("GET ") {
-                    let path = target.replace(" HTTP/1.1", "");
-                    let at = Instant::now();
-                    let _ = calls.send(Call { at, path });
-                }
-                continue;
-            }
+        let stream = listener.accept().await.expect("a connection").0;
+        let mut lines = BufReader::new(stream).lines();
+        while let Some(path) = read_call(&mut lines).await {
+            let at = Instant::now();
+            let _ = calls.send(Call { at, path });
             match script.next() {
                 Some(reply @ (Reply::Snapshot(version) | Reply::Delta(version))) => {
                     let response = list_response(version, matches!(reply, Reply::Snapshot(_)));
@@ -69,6 +63,20 @@
     }
 }
 
+/// Reads a call up to the end of its head and returns its path; `None` if the connection ends.
+async fn read_call(lines: &mut Lines<BufReader<TcpStream>>) -> Option<String> {
+    let mut path = None;
+    while let Ok(Some(line)) = lines.next_line().await {
+        if line.is_empty() {
+            return path;
+        }
+        if let Some(target) = line.strip_prefix("GET ") {
+            path = Some(target.replace(" HTTP/1.1", ""));
+        }
+    }
+    None
+}
+
 fn list_response(version: u64, is_snapshot: bool) -> String {
     let list = format!(
         "{{\n  \"index\": {version},\n  \"snapshot\": {is_snapshot},\n  \"endpoints\": [ ]\n}}"
--- a/crates/proxy/src/forwarded_request.rs
+++ b/crates/proxy/src/forwarded_request.rs
@@ -36,16 +36,24 @@
     EXPECT,
 ];
 
+/// The options that the `Connection` headers list (RFC 9110, section 7.6.1).
+pub fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
+    let values = headers.get_all(CONNECTION).iter();
+    let readable_values = values.filter_map(|value| value.to_str().ok());
+    readable_values.flat_map(|value| value.split(',').map(str::trim))
+}
+
 /// Removes the headers that concern a single connection (RFC 9110, section 7.6.1).
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
-    let connection_values: Vec<_> = headers.get_all(CONNECTION).iter().cloned().collect();
-    for value in connection_values {
-        for option in value.to_str().unwrap_or("").split(',') {
-            if let Ok(name) = HeaderName::from_bytes(option.trim().as_bytes()) {
-                headers.remove(name);
-            }
+    let mut named_headers = Vec::new();
+    for option in connection_options(headers) {
+        if let Ok(name) = HeaderName::from_bytes(option.as_bytes()) {
+            named_headers.push(name);
         }
     }
+    for name in named_headers {
+        headers.remove(name);
+    }
     for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
--- a/crates/proxy/src/server/connection_table.rs
+++ b/crates/proxy/src/server/connection_table.rs
@@ -64,14 +64,16 @@
     /// requests.
     pub(super) fn evict_longest_idle(&self, now: Time) {
         let connections = self.connections.borrow();
-        let longest_idle = connections
-            .values()
-            .filter(|connection| connection.may_be_evicted(now))
-            .filter_map(|connection| {
-                let since = connection.awaiting_request_since()?;
-                Some((since, connection))
-            })
-            .min_by_key(|(since, _)| *since);
+        let mut longest_idle: Option<(Time, &ClientConnection)> = None;
+        for connection in connections.values() {
+            let Some(idle_since) = connection.awaiting_request_since() else {
+                continue;
+            };
+            let is_longest = longest_idle.is_none_or(|(earliest, _)| idle_since < earliest);
+            if is_longest && connection.may_be_evicted(now) {
+                longest_idle = Some((idle_since, connection));
+            }
+        }
         if let Some((_, connection)) = longest_idle {
             connection.request_close(now);
         }
--- a/crates/proxy/src/server/request_validation.rs
+++ b/crates/proxy/src/server/request_validation.rs
@@ -1,6 +1,7 @@
 //! Validates the head of a request: extracts what the balancer needs to know of it, or tells why it
 //! is rejected.
 
+use crate::clock::MICROS_PER_MILLISECOND;
 use crate::forwarded_request::{MAX_BODY_BYTES, TIME_LEFT_HEADER};
 use brookstack_balancer::settings::Names;
 use brookstack_balancer::{Class, ClassId, Idempotency, Micros, TenantId};
@@ -162,7 +163,7 @@
         let tenant = self.parse_tenant(headers)?;
         let time_left_ms = optional_number(headers, &TIME_LEFT_HEADER)?
             .ok_or(RequestError::MissingHeader("X-Time-Left-Ms"))?;
-        let time_left = Micros(time_left_ms.saturating_mul(1000));
+        let time_left = Micros(time_left_ms.saturating_mul(MICROS_PER_MILLISECOND));
         Ok(RequestMetadata {
             correlation_id: HeaderValue::from_str(correlation_id)
                 .map_err(|_| RequestError::UnreadableCorrelationId)?,
@@ -214,8 +215,8 @@
             return Ok(None);
         }
         let name = name.ok_or(RequestError::MissingHeader("X-Account"))?;
-        let tenant = self.names.tenant(name);
-        tenant.map(Some).ok_or(RequestError::UnknownTenant)
+        let tenant = self.names.tenant(name).ok_or(RequestError::UnknownTenant)?;
+        Ok(Some(tenant))
     }
 }
 
@@ -255,7 +256,8 @@
         return Err(RequestError::RepeatedHeader);
     }
     let text = value.to_str();
-    text.map(Some).map_err(|_| RequestError::UnreadableHeader)
+    let text = text.map_err(|_| RequestError::UnreadableHeader)?;
+    Ok(Some(text))
 }
 
 /// The value of a header that holds decimal digits alone.
@@ -267,7 +269,8 @@
         return Err(RequestError::InvalidNumber);
     }
     let number = text.parse();
-    number.map(Some).map_err(|_| RequestError::InvalidNumber)
+    let number = number.map_err(|_| RequestError::InvalidNumber)?;
+    Ok(Some(number))
 }
 
 #[cfg(test)]
