--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -16,7 +16,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The times by which an attempt must have come to a certain point.
+/// The times by which an attempt must have reached a certain stage.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
     /// When its first byte must have been sent, for attempts that are safe only until then.
@@ -30,12 +30,13 @@
 pub struct SendProgress(RefCell<Option<Rc<StreamProgress>>>);
 
 impl SendProgress {
-    /// The attempt is sent on the connection with that progress.
+    /// Follows the connection on which the attempt is sent.
     pub fn track(&self, progress: Rc<StreamProgress>) {
         *self.0.borrow_mut() = Some(progress);
     }
 
-    /// Some byte of the request was handed to the socket. Until then it has not been sent.
+    /// Whether any byte of the request was handed to the socket. Until then the attempt counts as
+    /// not sent.
     pub fn has_started(&self) -> bool {
         let tracked = self.0.borrow();
         tracked
@@ -43,8 +44,8 @@
             .is_some_and(|progress| progress.write_started.get())
     }
 
-    /// All bytes of the request were handed to the socket. Until then the backend cannot execute
-    /// it.
+    /// Whether all bytes of the request were handed to the socket. Until then the backend cannot
+    /// execute the request.
     pub fn is_complete(&self) -> bool {
         let tracked = self.0.borrow();
         tracked
@@ -117,17 +118,17 @@
         })
     }
 
-    /// While the connection came up, the backend may have started to drain, or the time to send may
-    /// have passed.
+    /// Whether the attempt must not be sent any more. While its connection was established, the
+    /// backend may have started to drain, or the time to send may have passed.
     fn is_too_late(&self) -> bool {
         let send_by = self.deadlines.send_by;
         !self.upstream.accepts_requests()
             || send_by.is_some_and(|send_by| self.pool.clock.now() >= send_by)
     }
 
-    /// Sends the request on the connection. `None` means that a pooled connection was closed, or
-    /// brought more than its response, before a byte was written: nothing has been sent, and
-    /// another connection can be used.
+    /// Sends the request on the connection. Returns `None` if a pooled connection turned out to be
+    /// unusable before the first byte was written: the backend had closed it, or had sent more than
+    /// its last response. Nothing was sent then, and another connection can be used.
     async fn send(&self, acquired: AcquiredConnection) -> Option<AttemptResult> {
         let AcquiredConnection {
             mut connection,
@@ -152,8 +153,8 @@
     }
 }
 
-/// The outcome of an exchange that brought no usable response; `None` if it never started on a
-/// pooled connection.
+/// The outcome of an exchange without a usable response; `None` if nothing was written on a pooled
+/// connection.
 fn outcome_without_response(progress: &StreamProgress, is_new: bool) -> Option<Outcome> {
     if !is_new && !progress.write_started.get() {
         return None;
@@ -164,7 +165,7 @@
     if progress.connection_lost.get() {
         return Some(Outcome::Reset);
     }
-    // The backend responds, though with nothing that can be used: as much against it as an error.
+    // The backend sent a response that cannot be used, which counts against it like an error.
     Some(Outcome::Error)
 }
 
--- a/crates/proxy/src/attempt/tests.rs
+++ b/crates/proxy/src/attempt/tests.rs
@@ -8,7 +8,8 @@
 use std::sync::mpsc;
 use std::thread::JoinHandle;
 
-/// A backend that sends a surplus response on its first connection, and then serves a second one.
+/// A backend that sends a second, unrequested response on its first connection, and then serves
+/// another connection.
 struct SurplusBackend {
     address: SocketAddr,
     first_response_read: mpsc::Sender<()>,
@@ -46,8 +47,8 @@
     }
 }
 
-/// Bytes that come late behind a response must not become the next response, also where the runtime
-/// has not noticed them: here it has had no time to look between the two attempts.
+/// Bytes that a backend sends after its response must not become the next response, even if the
+/// runtime has not noticed them yet: here it does not poll its sockets between the two attempts.
 #[tokio::test]
 async fn a_late_surplus_does_not_become_the_next_response() {
     let backend = SurplusBackend::start();
@@ -71,8 +72,8 @@
         ..
     } = backend;
     let body = |result: AttemptResult| result.response.map(Response::into_body);
-    // Local tasks, as in the proxy: woken ones run on for a while before the runtime looks at its
-    // sockets.
+    // The attempts run in a local task, as in the proxy: the runtime goes on running woken local
+    // tasks for a while before it polls its sockets.
     let attempts = async move {
         let first = body(attempt.run().await);
         first_response_read.send(()).expect("the backend waits");
--- a/crates/proxy/src/backend_connection.rs
+++ b/crates/proxy/src/backend_connection.rs
@@ -16,9 +16,9 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// The head of a response is read up to this size.
+/// The largest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// A response is read up to this size, including its framing and the 1xx responses ahead of it.
+/// The largest response in bytes, including its framing and the 1xx responses before it.
 const MAX_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES + MAX_HEAD_BYTES;
 
 /// Why a connection could not be set up on a connected socket.
@@ -26,8 +26,8 @@
 #[error("HTTP handshake with the backend: {0}")]
 pub struct HandshakeError(#[source] hyper::Error);
 
-/// Why a request got no usable response. The [`StreamProgress`] of the connection tells how far it
-/// came.
+/// Why a request got no usable response. The [`StreamProgress`] of the connection tells how much of
+/// the request was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The request was not sent, or no response head came.
@@ -75,9 +75,10 @@
         })
     }
 
-    /// Sends the request and reads the complete response while polling the connection, whose own
-    /// end shows in the result of the exchange. The exchange is polled first: its request is
-    /// written before anything else can come between.
+    /// Sends the request and reads the complete response, polling the connection meanwhile. If the
+    /// connection ends, the exchange ends too, with a result that shows it. The exchange is polled
+    /// before the connection, so that the first poll of the connection already has the request to
+    /// write.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -94,9 +95,10 @@
         .await
     }
 
-    /// Whether the connection can take a request: the backend has not closed it and the last
-    /// response is complete. A connection that has ended is never polled again; waiting for it
-    /// would hold a good response back until the deadline.
+    /// Whether the connection can take a request: the backend has not closed it, and the last
+    /// response is complete. The connection is polled once without waiting, because a wait would
+    /// hold back a good response until the deadline. A connection that has ended is not polled
+    /// again.
     pub async fn is_reusable(&mut self) -> bool {
         if !self.ended {
             self.ended =
@@ -115,7 +117,7 @@
         .await
         .map_err(ExchangeError::NoResponse)?;
     let (head, body) = response.into_parts();
-    // A body whose announced length is too long need not be read.
+    // A body that is announced as too long need not be read.
     let announced_bytes = body.size_hint().lower();
     if announced_bytes > MAX_BODY_BYTES as u64 {
         return Err(ExchangeError::BodyTooLong(announced_bytes));
--- a/crates/proxy/src/backend_response.rs
+++ b/crates/proxy/src/backend_response.rs
@@ -41,8 +41,8 @@
     /// Classifies a response that was read completely.
     pub fn from_response(response: Response<Bytes>) -> AttemptResult {
         match response.status() {
-            // Where only the end of the connection delimits the body, a truncated response looks
-            // complete.
+            // If only the end of the connection delimits the body, a truncated response cannot be
+            // told from a complete one.
             StatusCode::OK if !is_delimited(response.headers()) => Outcome::Reset.into(),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                 if is_unprocessed(response.headers()) =>
@@ -53,9 +53,10 @@
                     connection_rejected: closes_connection(response.headers()),
                 }
             }
-            // The request is at fault and would be on every backend: its client gets the response,
-            // and nothing is held against the backend unless the response came after the latency
-            // objective. But 429 would promise the client that nothing was executed.
+            // Every backend would respond to this request with a client error, so the client gets
+            // the response. It does not count against the backend, unless it came after the latency
+            // objective. Status 429 is not forwarded, because it would promise the client that the
+            // request was not executed.
             status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
                 AttemptResult::with_response(Outcome::Cancelled, response)
             }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -6,7 +6,7 @@
 
 /// Microseconds in a millisecond.
 pub const MICROS_PER_MILLISECOND: u64 = 1_000;
-/// The furthest that [`Clock::instant`] looks ahead.
+/// The latest instant that [`Clock::instant`] returns lies this far ahead: one hour.
 const MAX_AHEAD: Micros = Micros(3_600_000_000);
 
 /// A clock that reads the system's time once and carries it on with the monotonic clock, so that a
@@ -35,8 +35,8 @@
         self.start_time + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time, for the runtime's timers; of one more than an hour ahead, an hour
-    /// from now.
+    /// The instant of a time, for the runtime's timers. For a time that is more than an hour ahead
+    /// it returns the instant an hour from now.
     pub fn instant(&self, time: Time) -> Instant {
         let latest = self.now() + MAX_AHEAD;
         let since_start = time.min(latest) - self.start_time;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -15,14 +15,15 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// With fewer descriptors there would be none for clients, backends and discovery.
+/// The lowest limit on file descriptors. A lower one would leave none for clients and backends.
 const MIN_DESCRIPTORS: u32 = 64;
 /// The unit of the memory limit in the file.
 const BYTES_PER_MB: usize = 1 << 20;
-/// The text of an endpoint list may take this fraction of the memory while it is read: of 64 MB the
-/// 8 MB that 17,000 entries with long names take when they are indented.
+/// The text of an endpoint list may take one part in this many of the memory limit. With a limit of
+/// 64 MB that is 8 MB, the size of an indented list of 17,000 entries with long names.
 const LIST_MEMORY_DIVISOR: usize = 8;
-/// An endpoint list may have so many bytes, some thousand entries, however low the memory limit is.
+/// An endpoint list of this many bytes, which is several thousand entries, is accepted with every
+/// memory limit.
 const MIN_LIST_BYTES: usize = 4 << 20;
 
 /// The configuration of a proxy.
@@ -33,7 +34,7 @@
     pub discovery: SocketAddr,
     /// The seed of every random choice.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// The number of file descriptors that the process may hold.
     pub max_descriptors: usize,
     /// Bytes of memory that the process may use.
     pub memory_limit_bytes: usize,
@@ -43,17 +44,18 @@
     pub balancer: brookstack_balancer::Config,
     /// The names of the balancer's classes and tenants.
     pub names: Names,
-    /// Requests that may be open at once; more are rejected before they reach the balancer.
+    /// The number of requests that may be open at once. Those in excess are rejected before they
+    /// reach the balancer.
     pub max_open_requests: usize,
-    /// A backend closes a connection that has been idle for this long, at the latest.
+    /// The time after which a backend closes an idle connection, at the latest.
     pub idle_timeout: Micros,
     /// A connection to a backend that is not established after this time counts as failed.
     pub connect_timeout: Micros,
     /// The longest deadline of any class: no client waits longer.
     pub longest_deadline: Micros,
-    /// An endpoint list may have so many bytes.
+    /// The largest endpoint list that is read, in bytes.
     pub max_list_bytes: usize,
-    /// The file's content but for the cached endpoints, for comparing it with a newer one.
+    /// The file's content without the cached endpoints, for the comparison with a newer file.
     pub document: Value,
 }
 
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,5 +1,6 @@
-//! The configuration file as JSON, with the cached endpoint list read apart: the list is long, and
-//! a running proxy holds a newer one, so that it takes no part in comparing two documents.
+//! The configuration file as JSON. The cached endpoint list is kept apart from the other members:
+//! it is long, and it takes no part in the comparison of two documents, because a running proxy
+//! holds a newer list.
 
 use crate::discovery::endpoint_list::EndpointList;
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, Visitor};
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -6,9 +6,8 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The configuration file cannot be used. Each text is one line that names what is wrong: the
-/// environment variable, or the path of a value in the file with what was expected and what was
-/// got.
+/// Why the configuration file cannot be used. Each text is one line that names the environment
+/// variable or the path of a value in the file, what was expected there, and what was found.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The environment variable that names the file is not set.
@@ -22,15 +21,15 @@
         /// Why it cannot be read.
         source: io::Error,
     },
-    /// The file holds something else than JSON.
+    /// The file is not JSON.
     #[error("{CONFIG_VARIABLE}: expected JSON in {}: {source}", .path.display())]
     NotJson {
         /// The file's name.
         path: PathBuf,
-        /// Where it is no JSON.
+        /// Where it is not JSON.
         source: serde_json::Error,
     },
-    /// The JSON is no object, or its cached endpoint list is not valid.
+    /// The JSON is not an object, or its cached endpoint list is not valid.
     #[error(transparent)]
     InvalidDocument(serde_json::Error),
     /// A value is missing or not what is expected.
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// The part of the backends' own idle timeout after which an idle connection is closed from this
-/// side: a request that is written while the backend closes the connection would end as a reset.
+/// Idle connections are closed after this fraction of the backends' own idle timeout. A request
+/// that is written while the backend closes its connection would end as a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 /// The error number for too many open files in the system.
 const ENFILE: i32 = 23;
@@ -24,7 +24,7 @@
 /// Why no connection to a backend could be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The proxy is out of sockets, which says nothing against the backend.
+    /// The proxy is out of sockets. This does not count against the backend.
     #[error("no socket is free for a connection")]
     NoFreeSocket,
     /// The backend did not accept the connection, or not in time.
@@ -55,13 +55,13 @@
     pub clock: Clock,
     dial_timeout: Micros,
     idle_timeout: Micros,
-    /// Sockets that are open to backends.
+    /// The number of sockets that are open to backends.
     sockets: Rc<Cell<usize>>,
     max_sockets: usize,
-    /// Those of the sockets that are idle.
+    /// The number of those sockets that are idle.
     idle_connections: Rc<Cell<usize>>,
     max_idle: Cell<usize>,
-    /// The upstreams that may hold idle connections: few in comparison to the endpoint list.
+    /// The upstreams that may hold idle connections, usually a small part of the endpoint list.
     idle_holders: RefCell<VecDeque<Rc<Upstream>>>,
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// Closes `count` idle connections, or all if there are fewer. Returns the backend's address of
-    /// the last one that was closed.
+    /// the connection that was closed last.
     pub fn close_idle(&self, count: usize) -> Option<SocketAddr> {
         let mut remaining = count;
         let mut last_closed = None;
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-/// The address of a backend that delays the responses to its first `count` requests until all have
-/// arrived, so that each has a connection of its own.
+/// Starts a backend and returns its address. The backend delays the responses to its first `count`
+/// requests until all of them have arrived, so that each has its own connection.
 fn start_backend(count: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -23,7 +23,7 @@
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
                 .expect("written");
         }
-        let _ = listener.accept(); // never: the connections stay open
+        let _ = listener.accept(); // does not return, so that the connections stay open
     });
     address
 }
--- a/crates/proxy/src/count_guard.rs
+++ b/crates/proxy/src/count_guard.rs
@@ -1,9 +1,9 @@
-//! A count of things that exist at the moment, kept correct by their lifetimes.
+//! Counts how many of a thing exist, open sockets for example.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts one thing, a socket for example, for as long as it exists.
+/// Counts one thing for as long as the guard exists, which belongs to that thing.
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// A connection to discovery is established within this time or not at all.
+/// The time limit for establishing a connection to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// Why a call to discovery brought no list.
@@ -27,16 +27,16 @@
     /// The request could not be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The connection failed during the call, or what came was no HTTP.
+    /// The connection failed during the call, or the response was not HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
     /// The body broke off or was longer than a list may be.
     #[error("response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// Discovery answered with another status than 200.
+    /// Discovery responded with a status other than 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The body is no valid list.
+    /// The body is not a valid list.
     #[error("invalid endpoint list: {0}")]
     InvalidList(#[from] EndpointListError),
 }
@@ -81,7 +81,7 @@
         self.sender.is_closed()
     }
 
-    /// Gets the list at that path, of at most so many bytes.
+    /// Gets the list at `path`. Fails if the body has more than `max_list_bytes` bytes.
     pub async fn get(
         &mut self,
         path: &str,
@@ -93,7 +93,8 @@
             .body(Empty::new())?;
         let response = self.sender.send_request(request).await?;
         let status = response.status();
-        // Read whatever the status is, so that the connection can take the next call.
+        // The body is read with every status, because the connection can take the next call only
+        // after it.
         let json = read_body(response.into_body(), max_list_bytes).await?;
         if status != StatusCode::OK {
             return Err(DiscoveryError::Status(status));
@@ -102,8 +103,8 @@
     }
 }
 
-/// Reads a body into a buffer that has its announced length from the start: a list can be large,
-/// and a buffer that grows takes up to twice as much.
+/// Reads a body into a buffer of its announced length. A list can be large, and a buffer that grows
+/// while it is read would take up to twice the memory.
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Vec<u8>, DiscoveryError> {
     let announced = body.size_hint().exact().unwrap_or(0);
     let mut bytes = Vec::with_capacity(announced.min(max_bytes as u64) as usize);
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,5 +1,11 @@
-//! The watch on the endpoint list: one call to discovery after the other, which the service holds
-//! open until there are changes or the wait that the call allows is over (long polling).
+//! The watch on the endpoint list, by long polling: the proxy makes one call to discovery after the
+//! other, and the service holds each call open until the list changes or until the wait is over
+//! that the call asks for.
+//!
+//! A list comes from one of two sources: a central service that all proxies poll, or a local agent
+//! that pushes changes. In both cases a proxy counts as notified of a change soon after the source
+//! had the change and could be reached. From then on the proxy is expected to act on the change,
+//! whether it has received the change or not. The times in this module are chosen so that it has.
 
 use super::client::{DiscoveryConnection, DiscoveryError};
 use super::endpoint_list::{EndpointList, ResolvedEndpoint};
@@ -14,24 +20,24 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch, Notify};
 
-/// The wait of a call to the local agent that pushes lists. Calls cost the agent nothing, and a
-/// short wait notices soon that it has become unresponsive.
+/// The wait of a call to the local agent. Calls cost the agent nothing, and with a short wait the
+/// proxy soon notices that the agent has become unresponsive.
 const PUSH_WAIT: Duration = Duration::from_secs(4);
-/// The wait of a call to the one service that all proxies poll, in seconds. Each call costs the
-/// service work. The waits differ by chance: a change restarts all watches together, and if the
-/// service then becomes unresponsive, all of them would have to be opened again together right
-/// after their waits.
+/// The range of the wait of a call to the central service, in seconds. The wait is long because
+/// each call costs the service work. It is drawn at random because a change of the list makes all
+/// proxies start their next call at the same moment. With equal waits these calls would also end
+/// at the same moment, and the service would get all of the calls that follow at once.
 const POLL_WAIT_SECONDS: Range<f64> = 15.0..25.0;
-/// How long after its wait a call is given up. The service ends a wait to the millisecond, so that
-/// a response that is this late does not come. The proxy counts as notified of what it missed 2 s
-/// after the wait: the next call has to go out and be answered before that.
+/// The time after the end of its wait at which an unanswered call is given up. The service ends a
+/// wait to the millisecond, so a response that is later than this will not come. The proxy counts
+/// as notified of the changes that it missed 2 s after the end of the wait. The next call must have
+/// been made and answered by then.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// The time limit of a call that gets the complete list. The service answers or fails it by itself
-/// within this time, the time in its queue included.
+/// The time limit of a call that gets the complete list. The service answers such a call within
+/// this time or fails it, including the time that the call spends in the service's queue.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(3500);
-/// The first pause after a failed call to the agent. The proxy counts as notified of what the agent
-/// has from the moment the agent is back, so that a call has to come well within the grace after
-/// that.
+/// The first pause after a failed call to the agent. It is short because the proxy counts as
+/// notified of what the agent has soon after the agent is back.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause after failed calls to the agent.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
@@ -42,13 +48,13 @@
     /// The call failed.
     #[error(transparent)]
     Failed(#[from] DiscoveryError),
-    /// The call was out for all of its time without an answer.
+    /// The call was not answered within its time limit.
     #[error("no answer in time")]
     TimedOut,
 }
 
 impl WatchError {
-    /// How the balancer is notified of it.
+    /// The update that tells the balancer of it.
     fn endpoint_update(&self) -> EndpointUpdate {
         match self {
             WatchError::Failed(_) => EndpointUpdate::WatchFailed,
@@ -77,30 +83,31 @@
 pub struct EndpointWatcher {
     /// Who decides when discovery is called.
     pub mode: DiscoveryMode,
-    /// The version of the list at hand; without one the next call gets the complete list.
+    /// The version of the list that the proxy holds; if `None`, the next call gets the complete
+    /// list.
     pub version: Option<u64>,
     /// Notified when the balancer requests a poll.
     pub poll_requested: Rc<Notify>,
     /// Where lists and failures go.
     pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// A list may have so many bytes.
+    /// The largest list that is read, in bytes.
     pub max_list_bytes: usize,
-    /// For waits that differ from those of other proxies.
+    /// Draws waits that differ from those of other proxies.
     pub random: Pcg32,
 }
 
 impl EndpointWatcher {
-    /// Watches without end, always at the address sent last. Another address drops the call that is
-    /// out, its connection, the pause after a failure and the version, which means something to the
-    /// old service alone.
+    /// Watches until the program ends, always at the address that was sent last. A new address
+    /// cancels the current call, its connection, and the pause after a failure. The version is
+    /// dropped too, because it has a meaning only for the old service.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
         if self.is_push() {
-            // The proxy counts as notified of what the agent has from the first moment. The version
-            // of the cached list may come from an agent that has restarted since, which would then
-            // wait for changes that it already has.
+            // The version of the cached list may come from an agent that has restarted since, and
+            // that counts versions from the start again. Asked for changes after that version, it
+            // would hold the call open instead of sending what it has.
             self.version = None;
         }
-        // Pushed lists are watched from the start, others once the balancer requests a poll.
+        // An agent is called at once. The central service is called when the balancer requests it.
         let mut poll_at_once = self.is_push();
         loop {
             let address = *addresses.borrow_and_update();
@@ -110,8 +117,8 @@
                     if changed.is_err() {
                         return; // the program ends
                     }
-                    // The proxy soon counts as notified of what the new service has, whatever pause
-                    // the failures of the old one called for.
+                    // The new service is called at once, even during a pause that follows a
+                    // failure of the old one.
                     self.version = None;
                     poll_at_once = true;
                 }
@@ -119,8 +126,8 @@
         }
     }
 
-    /// Watches at one address. After an answer the next call goes out at once, so that no change
-    /// falls between two calls.
+    /// Watches at one address. After an answer the next call is made at once, so that no change is
+    /// missed between two calls.
     async fn watch(&mut self, address: SocketAddr, mut poll_at_once: bool) -> Infallible {
         let mut connection = None;
         let mut backoff = Backoff::new();
@@ -164,8 +171,8 @@
 
     /// Records the version of a list and hands the list to the driver.
     fn take_list(&mut self, list: EndpointList) {
-        // Changes with a version below the one at hand come from a service that counts from the
-        // start again: what else it has is only in its complete list.
+        // A delta that is older than the held list comes from a service that has restarted and
+        // counts versions from the start again. The next call then asks for its complete list.
         let is_older = !list.is_snapshot && self.version.is_some_and(|held| list.version < held);
         self.version = (!is_older).then_some(list.version);
         let update = if list.is_snapshot {
@@ -182,10 +189,10 @@
 
     fn send(&self, update: EndpointUpdate, endpoints: Vec<ResolvedEndpoint>) {
         let event = DriverEvent::EndpointsUpdated(update, endpoints);
-        let _ = self.events.send(event); // fails only as the program ends
+        let _ = self.events.send(event); // fails only when the program ends
     }
 
-    /// How long the service may hold the next call open.
+    /// The time for which the service may hold the next call open.
     fn next_wait(&mut self) -> Duration {
         if self.is_push() {
             return PUSH_WAIT;
@@ -196,9 +203,9 @@
         Duration::from_millis((seconds * 1000.0) as u64)
     }
 
-    /// Makes one call, within its time limit: a service that never answers must not block the
-    /// watch. A request to poll that comes meanwhile is served by this call: kept for later, it
-    /// would cut short the pause that the balancer wants after a failure.
+    /// Makes one call within its time limit, so that a service that never answers does not block
+    /// the watch. A poll that the balancer requests meanwhile is answered by this call too. If the
+    /// request were kept, it would cut short the pause that the balancer wants after a failure.
     async fn poll(
         &self,
         connection: &mut Option<DiscoveryConnection>,
@@ -227,8 +234,8 @@
         }
     }
 
-    /// Gets the changes since the version at hand, or the complete list, on the open connection or
-    /// a new one.
+    /// Gets the changes since the held version, or the complete list if no version is held. Uses
+    /// the open connection if there is one, otherwise a new one.
     async fn get_list(
         &self,
         connection: &mut Option<DiscoveryConnection>,
--- a/crates/proxy/src/discovery/watch/tests.rs
+++ b/crates/proxy/src/discovery/watch/tests.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Discovery on a socket of the same thread: with the clock paused, time moves on only once both
-/// sides have written what they have to write. It reports each call.
+/// A discovery service that follows a script and reports each call. It runs in the same thread as
+/// the watch: with the clock paused, time advances only when both sides wait.
 async fn discovery_service(
     listener: TcpListener,
     script: Vec<Reply>,
@@ -105,8 +105,8 @@
     }
 }
 
-/// Runs a watch against a service with that script until the service has received so many calls.
-/// `on_update` stands for the balancer: it sees each update and can request a poll.
+/// Runs a watch against a service with that script until the service has received `call_count`
+/// calls. `on_update` acts as the balancer: it sees each update and can request a poll.
 async fn watch_calls(
     mode: DiscoveryMode,
     version: Option<u64>,
@@ -146,8 +146,8 @@
     }
 }
 
-/// The proxy counts as notified of what an unresponsive watch missed 2 s after its wait: by then
-/// the next call has been made, with time left for its answer.
+/// The proxy counts as notified of the changes that an unanswered call missed 2 s after the end of
+/// its wait. The next call must be made early enough to be answered by then.
 #[tokio::test(start_paused = true)]
 async fn an_unanswered_watch_times_out_soon_after_its_wait() {
     for (mode, min_wait) in [(POLLED, 15.0), (DiscoveryMode::Push, 4.0)] {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Waits that all end together would have all proxies poll together.
+/// With equal waits all proxies would poll at the same moments.
 #[tokio::test(start_paused = true)]
 async fn the_waits_of_watches_differ() {
     let script = (1..9).map(Reply::Snapshot).collect();
@@ -183,8 +183,8 @@
     );
 }
 
-/// The balancer repeats its request to poll while a watch waits. Kept, that request would make the
-/// next call right after a failure, whatever pause the balancer wants.
+/// The balancer may request a poll while a call is open. If that request were kept, the next call
+/// would be made right after a failure, without the pause that the balancer wants.
 #[tokio::test(start_paused = true)]
 async fn a_poll_request_during_a_call_is_not_kept_for_later() {
     let script = vec![
@@ -195,7 +195,7 @@
     ];
     let calls = watch_calls(POLLED, Some(4), script, 4, |update, poll_requested| {
         if update == EndpointUpdate::Snapshot {
-            poll_requested.notify_one(); // the next call is out by now
+            poll_requested.notify_one(); // the next call is open by now
         }
     });
     let fourth_call = tokio::time::timeout(Duration::from_secs(3600), calls).await;
@@ -205,8 +205,8 @@
     );
 }
 
-/// The proxy counts as notified of what the agent of a pushed list has from the first moment of a
-/// process, and again from the moment at which the agent is back.
+/// The proxy counts as notified of the agent's list from its own start, and again as soon as the
+/// agent is back from an outage.
 #[tokio::test(start_paused = true)]
 async fn an_agent_is_asked_for_a_snapshot_at_the_start_and_right_after_failures() {
     let mut script: Vec<Reply> = (0..12).map(|_| Reply::Reset).collect();
@@ -242,21 +242,21 @@
 async fn a_delta_older_than_the_version_at_hand_calls_for_a_snapshot() {
     let script = vec![Reply::Delta(42), Reply::Delta(2), Reply::Snapshot(3)];
     let calls = watch_calls(POLLED, Some(41), script, 4, poll_after_timeout).await;
-    let without_wait = |call: &Call| call.path.split('&').next().map(String::from);
     let expected = [
         "/api/targets?after=41",
         "/api/targets?after=42",
         "/api/targets",
         "/api/targets?after=3",
     ];
-    assert_eq!(
-        calls.iter().filter_map(without_wait).collect::<Vec<_>>(),
-        expected
-    );
+    let paths_without_wait: Vec<&str> = calls
+        .iter()
+        .filter_map(|call| call.path.split('&').next())
+        .collect();
+    assert_eq!(paths_without_wait, expected);
 }
 
-/// SIGHUP names another service while the balancer pauses after a failure: the proxy counts as
-/// notified of what the new one has seconds later, so that it is polled at once.
+/// A reload names another service while the balancer pauses after a failure. The proxy counts as
+/// notified of the new service's list seconds later, so that service is polled at once.
 #[tokio::test(start_paused = true)]
 async fn a_service_from_a_new_configuration_is_polled_at_once() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -36,13 +36,13 @@
 mod upstreams;
 mod wakeup_timer;
 
-/// Idle connections are checked this often.
+/// The interval at which idle connections are checked.
 const IDLE_CHECK_INTERVAL: Micros = Micros(1_000_000);
 
 /// What the driver reports to the rest of the program.
 #[derive(Default)]
 pub struct Status {
-    /// Some backend can be sent requests.
+    /// Whether any backend on the endpoint list accepts requests.
     pub serving: Cell<bool>,
 }
 
@@ -100,8 +100,7 @@
         })
     }
 
-    /// Runs until no events can be sent any more, which does not happen: the driver holds a sender
-    /// itself.
+    /// Runs the event loop. It does not end, because the driver itself holds a sender of events.
     pub async fn run(mut self, mut incoming: mpsc::UnboundedReceiver<DriverEvent>) {
         let clock = self.clock;
         let mut wakeup_timer = WakeupTimer::new(clock);
@@ -160,7 +159,8 @@
         tokio::task::spawn_local(async move { pool.close_expired().await });
     }
 
-    /// Does what cannot wait for the balancer's tick: a good response goes to its client at once.
+    /// Handles an event as far as it cannot wait for the balancer's tick: a successful response
+    /// goes to its client at once.
     fn handle_event(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::RequestArrived(incoming) => self.accept_request(incoming),
@@ -174,7 +174,7 @@
 
     fn accept_request(&mut self, incoming: IncomingRequest) {
         if self.pending.len() >= self.max_pending_requests {
-            // It reaches neither the balancer nor a backend.
+            // The request reaches neither the balancer nor a backend.
             let retry_after = self.balancer.retry_after();
             let _ = incoming.reply.send(FinalResponse::Rejected(retry_after));
             return;
@@ -236,9 +236,9 @@
             .report(Event::EndpointsUpdated { update, endpoints });
     }
 
-    /// The safety net: fails the requests that the balancer has not responded to although it had a
-    /// tick after their deadline. It never rejects them, for only the balancer knows what may have
-    /// been executed.
+    /// Fails the requests whose grace period after the deadline is over. This is a safety net
+    /// against a balancer that never responds. The requests are failed and not rejected, because
+    /// only the balancer knows whether they may have been executed.
     fn fail_overdue(&mut self, now: Time) {
         while let Some(request) = self.pending.pop_overdue(now) {
             tracing::error!("request {} had no answer at its deadline", request.0);
--- a/crates/proxy/src/driver/in_flight_attempt.rs
+++ b/crates/proxy/src/driver/in_flight_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt while it runs in a task of its own, and the guard that reports its end.
+//! An attempt while it runs in its own task, and the guard that reports its end.
 
 use crate::attempt::{Attempt, SendProgress};
 use crate::backend_response::AttemptResult;
@@ -18,13 +18,14 @@
 }
 
 impl AbortReason {
-    /// An attempt that had not started to be sent was never executed, whatever the reason.
+    /// The outcome of an attempt that is ended for this reason. An attempt of which no byte was
+    /// sent (`has_started` is false) was not executed.
     fn outcome(self, has_started: bool) -> Outcome {
         match (self, has_started) {
             (AbortReason::Cancelled, true) => Outcome::Cancelled,
             (AbortReason::Cancelled, false) => Outcome::NotSent,
             (AbortReason::DeadlineExceeded, true) => Outcome::TimedOut,
-            // A connection that was not established by the deadline counts like one that never is.
+            // A connection that is not established by the deadline counts as failed.
             (AbortReason::DeadlineExceeded, false) => Outcome::ConnectFailed,
         }
     }
@@ -79,7 +80,7 @@
         })
     }
 
-    /// Ends the attempt from the driver's side.
+    /// Ends the attempt for the driver, and returns its end as the balancer's event.
     pub fn abort(self, now: Time, reason: AbortReason, settled: bool) -> Event {
         self.task.abort();
         let outcome = reason.outcome(self.progress.has_started());
@@ -98,8 +99,8 @@
     })
 }
 
-/// Reports the end of an attempt however its task ends, also by a panic: the request may have been
-/// executed then.
+/// Reports the end of an attempt in every case. If the task ends without a result, by a panic for
+/// example, the attempt is reported as reset, because the request may have been executed.
 struct AttemptGuard {
     events: mpsc::UnboundedSender<DriverEvent>,
     id: AttemptId,
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -15,12 +15,13 @@
     pub deadline: Time,
     /// What is sent to backends.
     pub forwarded: Rc<ForwardedRequest>,
-    /// `None`: it has had its final response, or its client has disconnected.
+    /// Where the final response goes. `None` after the response, or once the client has
+    /// disconnected.
     reply: Option<oneshot::Sender<FinalResponse>>,
     /// Its attempts in flight.
     pub attempts: HashMap<AttemptNumber, InFlightAttempt>,
     /// How many attempts the balancer has dispatched so far.
-    pub attempt_count: u32,
+    attempt_count: u32,
 }
 
 impl PendingRequest {
@@ -68,13 +69,13 @@
 
 /// The pending requests of a proxy.
 pub struct PendingRequests {
-    /// After a deadline the balancer may still respond for so long.
+    /// The time after a deadline for which the balancer may still respond.
     grace_period: Micros,
     requests: HashMap<RequestId, PendingRequest>,
     deadlines: BTreeSet<DueTime>,
     /// The ends of the grace periods of requests that are past their deadline.
     grace_ends: VecDeque<DueTime>,
-    /// Requests that may be dropped once the balancer knows of their end.
+    /// Requests that may be dropped after the next tick.
     finished: Vec<RequestId>,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Whether there are none and no deadline is left.
+    /// Whether no request and no deadline is left.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.deadlines.is_empty()
@@ -138,8 +139,8 @@
         self.grace_ends.front().map(|grace_end| grace_end.at)
     }
 
-    /// Takes out an attempt. An attempt has one outcome: what it reports after it was cancelled
-    /// does not count.
+    /// Removes an attempt, if it is still in flight. An attempt has one outcome, so the result that
+    /// it may report after it was cancelled is ignored.
     pub fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         self.requests
             .get_mut(&id.request)?
@@ -167,8 +168,9 @@
         self.settle(request, now, balancer);
     }
 
-    /// Nobody waits for the request any more: what has not been sent completely is aborted, also
-    /// where attempts may not be cancelled, for a backend starts with the last byte. The balancer
+    /// Settles a request: nobody waits for its response any more. Attempts that are not completely
+    /// sent are aborted, because a backend starts to execute a request with its last byte. This
+    /// applies even if the configuration does not allow attempts to be cancelled. The balancer
     /// decides about the other attempts.
     pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
         let Some(pending) = self.requests.get_mut(&request) else {
@@ -188,8 +190,8 @@
         self.mark_if_finished(id.request);
     }
 
-    /// Ends, as timed out, the attempts in flight whose deadline has passed; the balancer still
-    /// owes the response.
+    /// Ends the attempts in flight of the requests whose deadline has passed. A request that is
+    /// still owed a response gets a grace period, in which the balancer responds to it.
     pub fn expire_deadlines(&mut self, now: Time, balancer: &mut BalancerHost) {
         while self.next_deadline().is_some_and(|at| at <= now) {
             let Some(DueTime { at, request }) = self.deadlines.pop_first() else {
@@ -223,9 +225,9 @@
         None
     }
 
-    /// Drops the finished requests once the balancer knows of their end. Until then it may dispatch
-    /// another attempt, which must end under its own number: under another one the balancer would
-    /// count its slot as used forever.
+    /// Drops the finished requests, at the end of a tick: only then has the balancer handled the
+    /// events of their end. Before that it may dispatch another attempt, whose end must be reported
+    /// under its own number. Otherwise the balancer would count that attempt as in flight forever.
     pub fn drop_finished(&mut self) {
         for request in self.finished.drain(..) {
             let pending = self.requests.get(&request);
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -69,7 +69,7 @@
         self.driver.handle_event(event);
     }
 
-    /// Dispatches the request to the backend, and gives a task of the attempt the time to dial.
+    /// Dispatches the request to the backend, and lets a task of the attempt start to connect.
     async fn dispatch(&mut self) {
         let local = tokio::task::LocalSet::new();
         local
@@ -81,7 +81,7 @@
             .await;
     }
 
-    /// Adds the request's first attempt, as if it had been dispatched and had come so far.
+    /// Adds the request's first attempt, as if it had been dispatched and had reached `progress`.
     fn add_first_attempt(&mut self, progress: Rc<SendProgress>, task: AbortHandle) {
         let dispatched_at = self.driver.clock.now();
         let pending = self.driver.pending.get_mut(REQUEST).expect("pending");
@@ -152,8 +152,9 @@
     assert!(listener.accept().is_err(), "connected");
 }
 
-/// A backend starts with the last byte of a request: an attempt that is not completely written when
-/// the client disconnects is aborted, also where the settings do not allow cancellation.
+/// A backend starts to execute a request with its last byte. An attempt that is not completely
+/// written when the client disconnects is therefore aborted, even if the settings do not allow
+/// cancellation.
 #[tokio::test]
 async fn a_client_that_disconnects_ends_attempts_that_are_not_completely_written() {
     for write_completed in [false, true] {
--- a/crates/proxy/src/driver/upstreams.rs
+++ b/crates/proxy/src/driver/upstreams.rs
@@ -1,4 +1,4 @@
-//! The backends of the endpoint list, as processes that requests can be sent to.
+//! The backends of the endpoint list, each as the process that requests can be sent to.
 
 use crate::discovery::endpoint_list::ResolvedEndpoint;
 use crate::upstream::Upstream;
@@ -14,7 +14,7 @@
 }
 
 impl Upstreams {
-    /// Brings the processes into line with an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub fn apply(&mut self, update: EndpointUpdate, targets: Vec<ResolvedEndpoint>) {
         let is_complete = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let mut previous = HashMap::new();
@@ -72,8 +72,8 @@
     }
 }
 
-/// The known process if the target is still the same, a new one otherwise: a restarted process
-/// shares no connection with the one before it.
+/// The known process if the target is still the same, otherwise a new one. A restarted process must
+/// not share connections with the process before it.
 fn current_process(known: Option<Rc<Upstream>>, target: ResolvedEndpoint) -> Rc<Upstream> {
     match known {
         Some(upstream) if upstream.is_same_process(&target) => upstream,
@@ -85,6 +85,7 @@
     }
 }
 
+/// The entry of the endpoint list for a process, with its state as of now.
 fn endpoint(upstream: &Upstream) -> Endpoint {
     let state = if upstream.accepts_requests() {
         BackendState::Ready
--- a/crates/proxy/src/forwarded_request.rs
+++ b/crates/proxy/src/forwarded_request.rs
@@ -7,24 +7,25 @@
 };
 use hyper::Request;
 
-/// The largest body of a request or a response.
+/// The largest body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// The header that tells a backend how long the client still waits, in milliseconds.
 pub const TIME_LEFT_HEADER: HeaderName = HeaderName::from_static("x-time-left-ms");
 
-/// A request as it is forwarded, the same in every attempt but for the time left.
+/// A request as it is forwarded. All attempts send the same, except for the time left.
 pub struct ForwardedRequest {
     /// Method, path and headers, without hop-by-hop headers.
     pub head: Request<()>,
     /// The complete body.
     pub body: Bytes,
-    /// Whether its client has disconnected; checked right before the first byte of each attempt.
+    /// Whether its client has disconnected. This is checked right before the first byte of each
+    /// attempt.
     pub client_disconnected: Box<dyn Fn() -> bool>,
 }
 
-/// The headers that concern a single connection whether `Connection` names them or not.
-/// `Content-Length` is among them because the next hop's is set anew, and `Expect` because the body
-/// is already complete.
+/// The headers that concern a single connection, even if `Connection` does not name them.
+/// `Content-Length` is among them because it is set anew for the next hop, and `Expect` because the
+/// body is already complete.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     TRANSFER_ENCODING,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Every load-balancing decision is made by `brookstack_balancer`; this crate owns the sockets, the
 //! timers, the watch on the endpoint list, the configuration and the signals. [`run`] is the whole
-//! program but for its log output and its exit code.
+//! program except for the set-up of the log and the exit code.
 
 mod attempt;
 mod backend_connection;
--- a/crates/proxy/src/server/body_memory.rs
+++ b/crates/proxy/src/server/body_memory.rs
@@ -1,4 +1,4 @@
-//! The memory that the bodies of open requests may hold together.
+//! The limit on the memory that the bodies of all open requests hold together.
 
 use std::cell::Cell;
 
@@ -8,6 +8,7 @@
 }
 
 impl BodyMemory {
+    /// A budget of which nothing is reserved.
     pub(super) fn new(capacity_bytes: usize) -> BodyMemory {
         BodyMemory {
             available_bytes: Cell::new(capacity_bytes),
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -7,20 +7,20 @@
 use std::task::Poll;
 use tokio::sync::Notify;
 
-/// The time from the connect to the complete head of the first request. Clients that never send
-/// one, or never end it, would hold a connection that others need.
+/// The time from the connect to the complete head of the first request. Without a limit, clients
+/// that never send a complete head would hold connections that others need.
 const FIRST_HEAD_TIMEOUT: Micros = Micros(2_200_000);
 /// The time from the head of a request to the end of its body. The first request of a connection
-/// has what is left of [`FIRST_HEAD_TIMEOUT`], if that is less.
+/// has only what is left of [`FIRST_HEAD_TIMEOUT`], if that is less.
 const BODY_TIMEOUT: Micros = Micros(2_000_000);
 /// The time for which a connection is kept open between two requests. Many clients keep connections
 /// and never use them again.
 const KEEP_ALIVE_TIMEOUT: Micros = Micros(5_000_000);
-/// The age from which a connection without a request may be evicted. What its client sent right
-/// behind the connect has arrived by then.
+/// The age from which a connection without a request may be evicted. By then a request has arrived
+/// that the client sent right after the connect.
 const MIN_EVICTION_AGE: Micros = Micros(20_000);
-/// The time from the request to close a connection until it is closed by force, because its client
-/// does not read.
+/// The time from asking a connection to close until it is closed by force, in case its client does
+/// not read.
 const GRACEFUL_CLOSE_TIMEOUT: Micros = Micros(2_000_000);
 
 /// What a connection is waiting for.
@@ -39,9 +39,9 @@
     opened_at: Time,
     presence: ClientPresence,
     phase: Cell<ConnectionPhase>,
-    /// A request was answered on it.
+    /// Whether a request was answered on it.
     has_served_request: Cell<bool>,
-    /// The latest request on it was rejected as invalid.
+    /// Whether the latest request on it was rejected as invalid.
     last_request_rejected: Cell<bool>,
     /// When it was last asked to close.
     close_requested_at: Cell<Option<Time>>,
@@ -49,6 +49,7 @@
 }
 
 impl ClientConnection {
+    /// A connection that was accepted at `now`.
     pub(super) fn new(now: Time, presence: ClientPresence) -> ClientConnection {
         ClientConnection {
             opened_at: now,
@@ -61,14 +62,17 @@
         }
     }
 
+    /// What it is waiting for.
     pub(super) fn phase(&self) -> ConnectionPhase {
         self.phase.get()
     }
 
+    /// Whether a request was answered on it.
     pub(super) fn has_served_request(&self) -> bool {
         self.has_served_request.get()
     }
 
+    /// Whether the latest request on it was rejected as invalid.
     pub(super) fn last_request_rejected(&self) -> bool {
         self.last_request_rejected.get()
     }
@@ -78,17 +82,17 @@
         self.presence.clone()
     }
 
-    /// The head of a request has arrived.
+    /// Notes that the head of a request has arrived.
     pub(super) fn start_reading_body(&self) {
         self.phase.set(ConnectionPhase::ReadingBody);
     }
 
-    /// A request is complete.
+    /// Notes that a request is complete.
     pub(super) fn start_awaiting_response(&self) {
         self.phase.set(ConnectionPhase::AwaitingResponse);
     }
 
-    /// The response to a request is ready to be written.
+    /// Notes that the response to a request is ready to be written.
     pub(super) fn finish_request(&self, now: Time, rejected: bool) {
         self.phase.set(ConnectionPhase::AwaitingHead { since: now });
         self.has_served_request.set(true);
@@ -123,12 +127,12 @@
         .await;
     }
 
-    /// Whether it is between requests, or has yet to bring its first.
+    /// Whether it waits for the head of its first or its next request.
     pub(super) fn is_awaiting_head(&self) -> bool {
         matches!(self.phase.get(), ConnectionPhase::AwaitingHead { .. })
     }
 
-    /// Since when it has been waiting for a request that may never be completed.
+    /// The time since which it has waited for a request that may never be completed.
     pub(super) fn awaiting_request_since(&self) -> Option<Time> {
         match self.phase.get() {
             ConnectionPhase::AwaitingHead { since } => Some(since),
@@ -156,7 +160,7 @@
         now - since >= timeout
     }
 
-    /// The time by which the body of a request must be complete whose head has just arrived.
+    /// The time by which a request whose head has arrived at `now` must have its complete body.
     pub(super) fn body_deadline(&self, now: Time) -> Time {
         let deadline = now + BODY_TIMEOUT;
         if self.has_served_request.get() {
--- a/crates/proxy/src/server/client_socket.rs
+++ b/crates/proxy/src/server/client_socket.rs
@@ -14,12 +14,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The bytes that are read ahead while a request is being served. A client that sends more does not
-/// wait for its responses: the excess is discarded, and its connection ends with the response to
-/// the current request.
+/// The most bytes that are read ahead while a request is being served. A client that sends more
+/// does not wait for its responses. The excess is discarded, and the connection ends with the
+/// response to the current request.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// The bytes that a single read takes from the socket while it looks for the disconnect; a buffer
-/// on the stack.
+/// The most bytes that a single read takes from the socket while it looks for the disconnect. The
+/// buffer is on the stack.
 const READ_CHUNK_BYTES: usize = 4 << 10;
 
 /// The state that a [`ClientSocket`] and its [`ClientPresence`] share.
@@ -27,9 +27,9 @@
     stream: TcpStream,
     /// Bytes that were read while looking for the disconnect, to be returned by the next reads.
     read_ahead: BytesMut,
-    /// Bytes were discarded: what follows them cannot be parsed as requests.
+    /// Whether bytes were discarded, so that what follows cannot be parsed as requests.
     has_discarded_bytes: bool,
-    /// The client has closed the connection or reset it.
+    /// Whether the client has closed the connection or reset it.
     is_disconnected: bool,
 }
 
@@ -68,7 +68,7 @@
         ClientSocket(Rc::new(RefCell::new(shared)))
     }
 
-    /// Ready once the client has closed the connection or reset it, whatever it sent before.
+    /// Ready once the client has closed the connection or reset it, even behind unread bytes.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let shared = &mut *self.0.borrow_mut();
         let mut chunk = [0; READ_CHUNK_BYTES];
--- a/crates/proxy/src/server/client_socket/tests.rs
+++ b/crates/proxy/src/server/client_socket/tests.rs
@@ -14,8 +14,8 @@
     (client, ClientSocket::new(stream))
 }
 
-/// Each way to disconnect, behind no bytes, some, and more than are read ahead. The runtime does
-/// not poll the system between the disconnect and the question.
+/// A client closes or resets its connection after it has sent no bytes, some bytes, or more than
+/// are read ahead. The runtime does not poll its sockets between the disconnect and the check.
 #[tokio::test]
 async fn a_disconnect_is_seen_before_the_runtime_has_seen_it() {
     for (sent_bytes, reset) in [
@@ -52,8 +52,7 @@
     }
 }
 
-/// The task that polls for the disconnect learns of it too, even where `has_disconnected` has seen
-/// it first.
+/// The task that polls for the disconnect must notice it too, after `has_disconnected` has.
 async fn poll_disconnected_now(socket: &ClientSocket) {
     std::future::poll_fn(|cx| socket.poll_disconnected(cx)).await;
 }
--- a/crates/proxy/src/server/connection_table.rs
+++ b/crates/proxy/src/server/connection_table.rs
@@ -15,6 +15,7 @@
 }
 
 impl ConnectionTable {
+    /// A table without connections.
     pub(super) fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable {
             max_connections,
@@ -23,14 +24,17 @@
         }
     }
 
+    /// Whether no connection is open.
     pub(super) fn is_empty(&self) -> bool {
         self.connections.borrow().is_empty()
     }
 
+    /// Whether the limit is reached.
     pub(super) fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
+    /// Adds a connection.
     pub(super) fn insert(&self, id: u64, connection: Rc<ClientConnection>) {
         self.connections.borrow_mut().insert(id, connection);
     }
@@ -59,9 +63,8 @@
         }
     }
 
-    /// Asks the connection to close that has waited longest for a request. With every connection in
-    /// use new clients must still get in, however many others hold connections without sending
-    /// requests.
+    /// Asks the connection to close that has waited longest for a request. New clients must be able
+    /// to connect even if others hold all connections without sending requests.
     pub(super) fn evict_longest_idle(&self, now: Time) {
         let connections = self.connections.borrow();
         let mut longest_idle: Option<(Time, &ClientConnection)> = None;
@@ -80,7 +83,7 @@
     }
 }
 
-/// Removes a connection from the table however its task ends.
+/// Removes a connection from the table when its task ends, also by a panic.
 pub(super) struct ConnectionGuard<'a> {
     id: u64,
     table: &'a ConnectionTable,
--- a/crates/proxy/src/server/request_handler.rs
+++ b/crates/proxy/src/server/request_handler.rs
@@ -19,10 +19,10 @@
 
 /// The path of the readiness probe.
 const READINESS_PATH: &str = "/-/ready";
-/// The ticks between the deadline of a request and the end of the time that its client waits, for
-/// the way to the client and back.
+/// The deadline of a request lies this many of the balancer's ticks before the time at which its
+/// client gives up, because the request and the response spend time on the network.
 const RESPONSE_MARGIN_TICKS: u64 = 2;
-/// The `Retry-After` of a response to a request for whose body there is no memory, in seconds.
+/// The `Retry-After`, in seconds, of the response to a request whose body finds no memory.
 const BODY_MEMORY_RETRY_AFTER: HeaderValue = HeaderValue::from_static("1");
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
--- a/crates/proxy/src/server/request_validation.rs
+++ b/crates/proxy/src/server/request_validation.rs
@@ -14,7 +14,7 @@
 const SERVICE_CLASS: HeaderName = HeaderName::from_static("x-service-class");
 /// The tenant that sends the request.
 const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
-/// `1` if the request is a retry of the client's own.
+/// `1` if the client repeats an earlier request of its own.
 const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
 /// The work that the client expects of the request, in microseconds of processor time on a standard
 /// core.
@@ -26,9 +26,9 @@
 /// The longest correlation identifier. Identifiers are held in memory while their request is open.
 const MAX_CORRELATION_ID_BYTES: usize = 128;
 
-/// Why a request is rejected before it reaches the balancer. Its connection is closed after the
-/// response, because what follows a malformed request on it cannot be trusted. The display text is
-/// the body of the response.
+/// Why a request is rejected before it reaches the balancer. The display text is the body of the
+/// response. The connection is closed after the response, because the bytes that follow a malformed
+/// request cannot be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The body is not framed by a length.
@@ -55,7 +55,7 @@
     /// A header has bytes outside printable ASCII.
     #[error("a header that can't be read")]
     UnreadableHeader,
-    /// A numeric header holds something else than a number.
+    /// A numeric header does not hold a whole number.
     #[error("expected a whole number in X-Time-Left-Ms and X-Weight-Hint")]
     InvalidNumber,
     /// The class is not configured.
@@ -108,7 +108,7 @@
     }
 }
 
-/// What the head of a valid request tells.
+/// What the balancer and the server need to know of a valid request.
 #[derive(Debug)]
 pub struct RequestMetadata {
     /// The identifier that the client gave the request.
@@ -135,9 +135,9 @@
     pub max_time_left: Micros,
 }
 
-/// Rejects a request whose body is framed otherwise than by a length. hyper removes
-/// `Content-Length` where `Transfer-Encoding` is present as well, so a request that carries both
-/// cannot be told from one that carries the latter alone.
+/// Rejects a request whose body is not framed by a length, or is too large. hyper removes
+/// `Content-Length` if `Transfer-Encoding` is present too, so a request with both headers cannot be
+/// told from one with `Transfer-Encoding` alone.
 pub fn check_framing(head: &Parts, body_length: Option<u64>) -> Result<(), RequestError> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -242,8 +242,8 @@
     optional_text(headers, name)?.ok_or(RequestError::MissingHeader(display_name))
 }
 
-/// The text of a header. One that occurs twice is rejected: the proxy must not act on the first of
-/// them and a backend on the second.
+/// The text of a header. A header that occurs twice is rejected, because the proxy could act on the
+/// first of them and a backend on the second.
 fn optional_text<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
--- a/crates/proxy/src/server/shutdown.rs
+++ b/crates/proxy/src/server/shutdown.rs
@@ -9,24 +9,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, Interval};
 
-/// The time from SIGTERM for which an accepted connection may bring its first request. The process
-/// may be killed before the response to a later one.
+/// The time from SIGTERM until which an accepted connection may send its first request. The process
+/// may be killed before it could respond to a later one.
 const FIRST_REQUEST_PERIOD: Micros = Micros(700_000);
-/// The time that the process is given beyond the longest deadline of a request before it may be
-/// killed.
+/// The process may be killed this long after the longest deadline of a request that arrived by
+/// SIGTERM.
 const KILL_GRACE_PERIOD: Micros = Micros(700_000);
 /// The longest deadline that is taken into account for the time of the kill.
 const KILL_MAX_TIME_LEFT: Micros = Micros(3_000_000);
-/// A request that arrives after SIGTERM is answered this long before the kill, for the way to the
-/// client.
+/// A request that arrives after SIGTERM is answered this long before the kill, because the response
+/// spends time on the network.
 const RESPONSE_TRANSIT_MARGIN: Micros = Micros(100_000);
 
 /// A graceful shutdown that has begun.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     began_at: Time,
-    /// The deadline of the requests that arrive from now on: the process may be killed a moment
-    /// later.
+    /// The latest deadline of the requests that arrive from now on. The process may be killed a
+    /// moment later.
     pub(super) response_deadline: Time,
 }
 
@@ -56,8 +56,7 @@
         overdue_check: &mut Interval,
     ) {
         let mut listener = listener.into_std().ok();
-        // Requests from before SIGTERM may have all of their time; those that arrived since end
-        // sooner.
+        // Requests from before SIGTERM keep their full time; those that arrived later end sooner.
         let drain_deadline =
             Instant::now() + duration(self.rules.max_time_left + KILL_GRACE_PERIOD);
         loop {
@@ -74,8 +73,8 @@
         }
     }
 
-    /// Asks the connections to close that wait for a further request, and those that have waited
-    /// too long for their first.
+    /// Asks those connections to close that wait for a further request, or have waited too long for
+    /// their first.
     fn close_between_requests(&self) {
         let now = self.clock.now();
         let shutdown = self.shutdown.get();
@@ -87,9 +86,10 @@
         });
     }
 
-    /// Accepts connections from the queue of the kernel as far as the limit allows. The kernel has
-    /// completed their handshakes, so they count as accepted even where the runtime has not seen
-    /// them yet: the socket itself is read until it has no more. Returns whether it may have more.
+    /// Accepts connections from the kernel's accept queue until the queue is empty or the limit on
+    /// connections is reached. The kernel has completed the handshakes of queued connections, so
+    /// their clients may already send requests, even if the runtime has not noticed them yet.
+    /// Returns whether the queue may hold more.
     fn accept_queued(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
         while !self.connections.is_full() {
             let stream = match listener.accept() {
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -23,15 +23,16 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
 
-/// Descriptors kept for the listener, discovery, signals, standard streams and the runtime.
+/// The number of descriptors that are kept for the listener, discovery, signals, standard streams
+/// and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The bodies of open requests may take this fraction of the memory.
+/// The bodies of open requests may take one part in this many of the memory limit.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
 /// Runs the proxy in the calling thread until it has shut down.
 ///
-/// The configuration file is the one that the environment variable `BALANCER_CONFIG` names. SIGHUP
-/// has it read again, SIGTERM and SIGINT begin a graceful shutdown.
+/// The environment variable `BALANCER_CONFIG` names the configuration file. SIGHUP makes the proxy
+/// read the file again; SIGTERM and SIGINT begin a graceful shutdown.
 pub fn run() -> Result<(), StartupError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -41,7 +42,7 @@
 }
 
 async fn serve() -> Result<(), StartupError> {
-    // Before anything slow: uncaught, each of these signals ends the process.
+    // Signals are caught before anything slow is done, because an uncaught one ends the process.
     let signals = Signals::catch()?;
     let mut config = config::load()?;
     let listener = bind(config.listen).await?;
@@ -106,11 +107,11 @@
 /// What the parts of the proxy share.
 struct Shared {
     clock: Clock,
-    /// To the driver.
+    /// Sends events to the driver.
     events: mpsc::UnboundedSender<DriverEvent>,
-    /// From the driver to the watch: the balancer requests a poll of discovery.
+    /// The driver notifies the watch when the balancer requests a poll of discovery.
     poll_requested: Rc<Notify>,
-    /// From the driver to the server.
+    /// What the driver reports to the server.
     status: Rc<Status>,
 }
 
@@ -125,7 +126,8 @@
     }
 }
 
-/// How many connections may be open, in halves of the descriptors that are not reserved.
+/// How many connections may be open. Clients and backends each get half of the descriptors that are
+/// not reserved.
 struct ConnectionLimits {
     clients: usize,
     backends: usize,
@@ -190,12 +192,12 @@
     }
 }
 
-/// Hands the cached endpoint list to the driver, or an empty one: the balancer acts on events
-/// alone, and without a first event it would never request a poll of discovery.
+/// Hands the cached endpoint list to the driver, or an empty one. The balancer acts only on events:
+/// without a first event it would never request a poll of discovery.
 fn announce_cached_endpoints(shared: &Shared, cached_endpoints: Option<EndpointList>) {
     let endpoints = cached_endpoints.map_or_else(Vec::new, |list| list.endpoints);
     let event = DriverEvent::EndpointsUpdated(EndpointUpdate::Cached, endpoints);
-    let _ = shared.events.send(event); // cannot fail while `serve` holds the receiver
+    let _ = shared.events.send(event); // does not fail while `serve` holds the receiver
 }
 
 fn new_driver(
@@ -216,8 +218,8 @@
     driver.map_err(StartupError::Settings)
 }
 
-/// Runs the driver. Without it the proxy fails every request: it then reports that it is not ready,
-/// so that no more requests are sent to it.
+/// Runs the driver. If the driver ends by a fault, the proxy fails every request. It then reports
+/// that it is not ready, so that no more requests are sent to it.
 fn spawn_driver(driver: Driver, events: mpsc::UnboundedReceiver<DriverEvent>, status: Rc<Status>) {
     let driver_task = tokio::task::spawn_local(driver.run(events));
     tokio::task::spawn_local(async move {
--- a/crates/proxy/src/startup/error.rs
+++ b/crates/proxy/src/startup/error.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The proxy could not start. Each text is one line for standard error.
+/// Why the proxy could not start. Each text is one line for standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// The asynchronous runtime could not be built.
@@ -16,7 +16,7 @@
     Signal {
         /// The signal's name.
         name: &'static str,
-        /// Why not.
+        /// Why it could not be caught.
         source: io::Error,
     },
     /// The configuration file cannot be used.
@@ -27,7 +27,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// Why it could not be bound.
         source: io::Error,
     },
     /// The balancer rejected its settings.
--- a/crates/proxy/src/tracked_stream.rs
+++ b/crates/proxy/src/tracked_stream.rs
@@ -20,7 +20,7 @@
     pub write_completed: Cell<bool>,
     /// The peer has closed the connection, or the connection has failed.
     pub connection_lost: Cell<bool>,
-    /// Bytes of the response read so far.
+    /// The number of bytes of the response that were read so far.
     response_bytes: Cell<usize>,
 }
 
@@ -33,13 +33,14 @@
     }
 }
 
-/// A TCP stream to a backend that keeps a [`StreamProgress`]. A request that was not handed over
-/// completely has never been executed, as backends start with its last byte.
+/// A TCP stream to a backend that keeps a [`StreamProgress`]. Backends start to execute a request
+/// with its last byte, so a request that was not handed over completely was not executed.
 pub struct TrackedStream {
     stream: TcpStream,
     /// The progress of the current request, shared with its attempt.
     pub progress: Rc<StreamProgress>,
-    /// Reading fails when a response, whatever its bytes are, exceeds this.
+    /// The largest response in bytes, including everything that belongs to its framing. Reading
+    /// more fails.
     max_response_bytes: usize,
 }
 
@@ -53,10 +54,10 @@
         }
     }
 
-    /// Fails, right before the first byte of a request, if there is anything to read: bytes that
-    /// came before the request belong to no response to it, and nothing in a response tells which
-    /// request it answers. The runtime may not have noticed them yet, so the socket itself is
-    /// checked.
+    /// Fails if anything can be read before the first byte of a request is written. Bytes that came
+    /// before the request are not its response, and nothing in a response tells which request it
+    /// answers. The socket itself is checked, because the runtime may not have noticed the bytes
+    /// yet.
     fn ensure_no_unread_input(&self) -> io::Result<()> {
         if self.progress.write_started.get() {
             return Ok(());
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Records the result of a write in the progress.
     fn record_write(&self, written: &Poll<io::Result<usize>>) {
         match written {
             Poll::Ready(Ok(bytes)) if *bytes > 0 => self.progress.write_started.set(true),
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -12,7 +12,7 @@
     pub idle_since: Time,
     /// The connection.
     pub connection: BackendConnection,
-    /// Its place in the pool's count of idle connections.
+    /// Counts it among the pool's idle connections.
     pub count: CountGuard,
 }
 
@@ -21,11 +21,12 @@
 pub struct Upstream {
     /// The endpoint list's entry for the process, and its address.
     pub target: ResolvedEndpoint,
-    /// New requests may go to it; checked again before the first byte of each.
+    /// Whether new requests may go to it. This is checked again before the first byte of each
+    /// request.
     accepts_requests: Cell<bool>,
     /// Idle connections to it; the last one was used last.
     pub idle: RefCell<Vec<IdleConnection>>,
-    /// The pool has it on its list of upstreams that may hold idle connections.
+    /// Whether it is on the pool's list of upstreams that may hold idle connections.
     pub listed_by_pool: Cell<bool>,
 }
 
@@ -51,7 +52,7 @@
         self.accepts_requests.set(true);
     }
 
-    /// Sends it nothing new from now on, and closes the idle connections to it.
+    /// Lets no new request go to it from now on, and closes the idle connections to it.
     pub fn close_to_new_requests(&self) {
         self.accepts_requests.set(false);
         self.idle.borrow_mut().clear();
