--- a/crates/proxy/src/backend_response.rs
+++ b/crates/proxy/src/backend_response.rs
@@ -1,9 +1,9 @@
 //! What a backend's response means for the attempt that got it.
 
-use crate::forwarded_request::remove_hop_by_hop_headers;
+use crate::forwarded_request::{connection_options, remove_hop_by_hop_headers};
 use brookstack_balancer::Outcome;
 use bytes::Bytes;
-use hyper::header::{HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::header::{HeaderMap, HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
 
 /// A backend sets this header to `1` on a 503 or 504 if it did not start to process the request.
@@ -41,8 +41,8 @@
     /// Classifies a response that was read completely.
     pub fn from_response(response: Response<Bytes>) -> AttemptResult {
         match response.status() {
-            // Where only the end of the connection delimits the body, a truncated response looks
-            // complete.
+            // If only the end of the connection delimits the body, a truncated response cannot be
+            // told from a complete one.
             StatusCode::OK if !is_delimited(response.headers()) => Outcome::Reset.into(),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                 if is_unprocessed(response.headers()) =>
@@ -53,9 +53,10 @@
                     connection_rejected: closes_connection(response.headers()),
                 }
             }
-            // The request is at fault and would be on every backend: its client gets the response,
-            // and nothing is held against the backend unless the response came after the latency
-            // objective. But 429 would promise the client that nothing was executed.
+            // Every backend would respond to this request with a client error, so the client gets
+            // the response. It does not count against the backend, unless it came after the latency
+            // objective. Status 429 is not forwarded, because it would promise the client that the
+            // request was not executed.
             status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
                 AttemptResult::with_response(Outcome::Cancelled, response)
             }
@@ -83,13 +84,5 @@
 
 /// Whether the backend announces that it closes the connection after this response.
 fn closes_connection(headers: &HeaderMap) -> bool {
-    let mut values = headers
-        .get_all(CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok());
-    values.any(|value| {
-        value
-            .split(',')
-            .any(|option| option.trim().eq_ignore_ascii_case("close"))
-    })
+    connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The furthest that [`Clock::instant`] looks ahead.
+/// Microseconds in a millisecond.
+pub const MICROS_PER_MILLISECOND: u64 = 1_000;
+/// The latest instant that [`Clock::instant`] returns lies this far ahead: one hour.
 const MAX_AHEAD: Micros = Micros(3_600_000_000);
 
 /// A clock that reads the system's time once and carries it on with the monotonic clock, so that a
@@ -33,8 +35,8 @@
         self.start_time + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time, for the runtime's timers; of one more than an hour ahead, an hour
-    /// from now.
+    /// The instant of a time, for the runtime's timers. For a time that is more than an hour ahead
+    /// it returns the instant an hour from now.
     pub fn instant(&self, time: Time) -> Instant {
         let latest = self.now() + MAX_AHEAD;
         let since_start = time.min(latest) - self.start_time;
--- a/crates/proxy/src/discovery/watch/tests.rs
+++ b/crates/proxy/src/discovery/watch/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::TcpListener;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader, Lines};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
 /// How the scripted discovery service responds to a call.
@@ -26,8 +26,8 @@
     }
 }
 
-/// Discovery on a socket of the same thread: with the clock paused, time moves on only once both
-/// sides have written what they have to write. It reports each call.
+/// A discovery service that follows a script and reports each call. It runs in the same thread as
+/// the watch: with the clock paused, time advances only when both sides wait.
 async fn discovery_service(
     listener: TcpListener,
     script: Vec<Reply>,
@@ -36,17 +36,11 @@
     let mut script = script.into_iter();
     let mut unanswered = Vec::new();
     loop {
-        let stream = BufReader::new(listener.accept().await.expect("a connection").0);
-        let mut lines = stream.lines();
-        while let Ok(Some(line)) = lines.next_line().await {
-            if !line.is_empty() {
-                if let Some(target) = line.strip_prefix("GET ") {
-                    let path = target.replace(" HTTP/1.1", "");
-                    let at = Instant::now();
-                    let _ = calls.send(Call { at, path });
-                }
-                continue;
-            }
+        let stream = listener.accept().await.expect("a connection").0;
+        let mut lines = BufReader::new(stream).lines();
+        while let Some(path) = read_call(&mut lines).await {
+            let at = Instant::now();
+            let _ = calls.send(Call { at, path });
             match script.next() {
                 Some(reply @ (Reply::Snapshot(version) | Reply::Delta(version))) => {
                     let response = list_response(version, matches!(reply, Reply::Snapshot(_)));
@@ -69,6 +63,20 @@
     }
 }
 
+/// Reads a call up to the end of its head and returns its path; `None` if the connection ends.
+async fn read_call(lines: &mut Lines<BufReader<TcpStream>>) -> Option<String> {
+    let mut path = None;
+    while let Ok(Some(line)) = lines.next_line().await {
+        if line.is_empty() {
+            return path;
+        }
+        if let Some(target) = line.strip_prefix("GET ") {
+            path = Some(target.replace(" HTTP/1.1", ""));
+        }
+    }
+    None
+}
+
 fn list_response(version: u64, is_snapshot: bool) -> String {
     let list = format!(
         "{{\n  \"index\": {version},\n  \"snapshot\": {is_snapshot},\n  \"endpoints\": [ ]\n}}"
@@ -97,8 +105,8 @@
     }
 }
 
-/// Runs a watch against a service with that script until the service has received so many calls.
-/// `on_update` stands for the balancer: it sees each update and can request a poll.
+/// Runs a watch against a service with that script until the service has received `call_count`
+/// calls. `on_update` acts as the balancer: it sees each update and can request a poll.
 async fn watch_calls(
     mode: DiscoveryMode,
     version: Option<u64>,
@@ -138,8 +146,8 @@
     }
 }
 
-/// The proxy counts as notified of what an unresponsive watch missed 2 s after its wait: by then
-/// the next call has been made, with time left for its answer.
+/// The proxy counts as notified of the changes that an unanswered call missed 2 s after the end of
+/// its wait. The next call must be made early enough to be answered by then.
 #[tokio::test(start_paused = true)]
 async fn an_unanswered_watch_times_out_soon_after_its_wait() {
     for (mode, min_wait) in [(POLLED, 15.0), (DiscoveryMode::Push, 4.0)] {
@@ -160,7 +168,7 @@
     }
 }
 
-/// Waits that all end together would have all proxies poll together.
+/// With equal waits all proxies would poll at the same moments.
 #[tokio::test(start_paused = true)]
 async fn the_waits_of_watches_differ() {
     let script = (1..9).map(Reply::Snapshot).collect();
@@ -175,8 +183,8 @@
     );
 }
 
-/// The balancer repeats its request to poll while a watch waits. Kept, that request would make the
-/// next call right after a failure, whatever pause the balancer wants.
+/// The balancer may request a poll while a call is open. If that request were kept, the next call
+/// would be made right after a failure, without the pause that the balancer wants.
 #[tokio::test(start_paused = true)]
 async fn a_poll_request_during_a_call_is_not_kept_for_later() {
     let script = vec![
@@ -187,7 +195,7 @@
     ];
     let calls = watch_calls(POLLED, Some(4), script, 4, |update, poll_requested| {
         if update == EndpointUpdate::Snapshot {
-            poll_requested.notify_one(); // the next call is out by now
+            poll_requested.notify_one(); // the next call is open by now
         }
     });
     let fourth_call = tokio::time::timeout(Duration::from_secs(3600), calls).await;
@@ -197,8 +205,8 @@
     );
 }
 
-/// The proxy counts as notified of what the agent of a pushed list has from the first moment of a
-/// process, and again from the moment at which the agent is back.
+/// The proxy counts as notified of the agent's list from its own start, and again as soon as the
+/// agent is back from an outage.
 #[tokio::test(start_paused = true)]
 async fn an_agent_is_asked_for_a_snapshot_at_the_start_and_right_after_failures() {
     let mut script: Vec<Reply> = (0..12).map(|_| Reply::Reset).collect();
@@ -234,21 +242,21 @@
 async fn a_delta_older_than_the_version_at_hand_calls_for_a_snapshot() {
     let script = vec![Reply::Delta(42), Reply::Delta(2), Reply::Snapshot(3)];
     let calls = watch_calls(POLLED, Some(41), script, 4, poll_after_timeout).await;
-    let without_wait = |call: &Call| call.path.split('&').next().map(String::from);
     let expected = [
         "/api/targets?after=41",
         "/api/targets?after=42",
         "/api/targets",
         "/api/targets?after=3",
     ];
-    assert_eq!(
-        calls.iter().filter_map(without_wait).collect::<Vec<_>>(),
-        expected
-    );
+    let paths_without_wait: Vec<&str> = calls
+        .iter()
+        .filter_map(|call| call.path.split('&').next())
+        .collect();
+    assert_eq!(paths_without_wait, expected);
 }
 
-/// SIGHUP names another service while the balancer pauses after a failure: the proxy counts as
-/// notified of what the new one has seconds later, so that it is polled at once.
+/// A reload names another service while the balancer pauses after a failure. The proxy counts as
+/// notified of the new service's list seconds later, so that service is polled at once.
 #[tokio::test(start_paused = true)]
 async fn a_service_from_a_new_configuration_is_polled_at_once() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -1,9 +1,10 @@
 //! The requests that are owed a response or have attempts in flight, and their deadlines.
 
+use super::balancer_host::BalancerHost;
 use super::in_flight_attempt::{AbortReason, InFlightAttempt};
 use crate::forwarded_request::ForwardedRequest;
 use crate::message::{AttemptId, FinalResponse, IncomingRequest};
-use brookstack_balancer::{AttemptNumber, Event, Micros, RequestId, Time};
+use brookstack_balancer::{AttemptNumber, Micros, RequestId, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -14,12 +15,13 @@
     pub deadline: Time,
     /// What is sent to backends.
     pub forwarded: Rc<ForwardedRequest>,
-    /// `None`: it has had its final response, or its client has disconnected.
+    /// Where the final response goes. `None` after the response, or once the client has
+    /// disconnected.
     reply: Option<oneshot::Sender<FinalResponse>>,
     /// Its attempts in flight.
     pub attempts: HashMap<AttemptNumber, InFlightAttempt>,
     /// How many attempts the balancer has dispatched so far.
-    pub attempt_count: u32,
+    attempt_count: u32,
 }
 
 impl PendingRequest {
@@ -47,13 +49,13 @@
     }
 
     /// Aborts the attempts that have not been sent completely.
-    fn cancel_unsent_attempts(&mut self, now: Time, events: &mut Vec<Event>) {
+    fn cancel_unsent_attempts(&mut self, now: Time, balancer: &mut BalancerHost) {
         let (sent, unsent): (HashMap<_, _>, HashMap<_, _>) = std::mem::take(&mut self.attempts)
             .into_iter()
             .partition(|(_, attempt)| attempt.progress.is_complete());
         self.attempts = sent;
         for attempt in unsent.into_values() {
-            events.push(attempt.abort(now, AbortReason::Cancelled, true));
+            balancer.report(attempt.abort(now, AbortReason::Cancelled, true));
         }
     }
 }
@@ -67,13 +69,13 @@
 
 /// The pending requests of a proxy.
 pub struct PendingRequests {
-    /// After a deadline the balancer may still respond for so long.
+    /// The time after a deadline for which the balancer may still respond.
     grace_period: Micros,
     requests: HashMap<RequestId, PendingRequest>,
     deadlines: BTreeSet<DueTime>,
     /// The ends of the grace periods of requests that are past their deadline.
     grace_ends: VecDeque<DueTime>,
-    /// Requests that may be dropped once the balancer knows of their end.
+    /// Requests that may be dropped after the next tick.
     finished: Vec<RequestId>,
 }
 
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Whether there are none and no deadline is left.
+    /// Whether no request and no deadline is left.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.deadlines.is_empty()
@@ -116,9 +118,10 @@
         self.requests.insert(incoming.id, pending);
     }
 
-    /// A request.
-    pub fn get(&self, request: RequestId) -> Option<&PendingRequest> {
-        self.requests.get(&request)
+    /// The time until a request's deadline; zero if there is no such request.
+    pub fn time_left(&self, request: RequestId, now: Time) -> Micros {
+        let pending = self.requests.get(&request);
+        pending.map_or(Micros(0), |pending| pending.deadline - now)
     }
 
     /// A request, to be changed.
@@ -136,8 +139,8 @@
         self.grace_ends.front().map(|grace_end| grace_end.at)
     }
 
-    /// Takes out an attempt. An attempt has one outcome: what it reports after it was cancelled
-    /// does not count.
+    /// Removes an attempt, if it is still in flight. An attempt has one outcome, so the result that
+    /// it may report after it was cancelled is ignored.
     pub fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         self.requests
             .get_mut(&id.request)?
@@ -157,38 +160,39 @@
         request: RequestId,
         response: FinalResponse,
         now: Time,
-        events: &mut Vec<Event>,
+        balancer: &mut BalancerHost,
     ) {
         if let Some(pending) = self.requests.get_mut(&request) {
             pending.respond(response);
         }
-        self.settle(request, now, events);
+        self.settle(request, now, balancer);
     }
 
-    /// Nobody waits for the request any more: what has not been sent completely is aborted, also
-    /// where attempts may not be cancelled, for a backend starts with the last byte. The balancer
+    /// Settles a request: nobody waits for its response any more. Attempts that are not completely
+    /// sent are aborted, because a backend starts to execute a request with its last byte. This
+    /// applies even if the configuration does not allow attempts to be cancelled. The balancer
     /// decides about the other attempts.
-    pub fn settle(&mut self, request: RequestId, now: Time, events: &mut Vec<Event>) {
+    pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
         let Some(pending) = self.requests.get_mut(&request) else {
             return;
         };
-        pending.cancel_unsent_attempts(now, events);
+        pending.cancel_unsent_attempts(now, balancer);
         self.mark_if_finished(request);
     }
 
     /// Cancels an attempt for the balancer.
-    pub fn cancel_attempt(&mut self, id: AttemptId, now: Time, events: &mut Vec<Event>) {
+    pub fn cancel_attempt(&mut self, id: AttemptId, now: Time, balancer: &mut BalancerHost) {
         let Some(attempt) = self.remove_attempt(id) else {
             return;
         };
         let settled = !self.is_owed_response(id.request);
-        events.push(attempt.abort(now, AbortReason::Cancelled, settled));
+        balancer.report(attempt.abort(now, AbortReason::Cancelled, settled));
         self.mark_if_finished(id.request);
     }
 
-    /// Ends, as timed out, the attempts in flight whose deadline has passed; the balancer still
-    /// owes the response.
-    pub fn expire_deadlines(&mut self, now: Time, events: &mut Vec<Event>) {
+    /// Ends the attempts in flight of the requests whose deadline has passed. A request that is
+    /// still owed a response gets a grace period, in which the balancer responds to it.
+    pub fn expire_deadlines(&mut self, now: Time, balancer: &mut BalancerHost) {
         while self.next_deadline().is_some_and(|at| at <= now) {
             let Some(DueTime { at, request }) = self.deadlines.pop_first() else {
                 return;
@@ -198,7 +202,7 @@
             };
             let settled = !pending.is_owed_response();
             for (_, attempt) in pending.attempts.drain() {
-                events.push(attempt.abort(now, AbortReason::DeadlineExceeded, settled));
+                balancer.report(attempt.abort(now, AbortReason::DeadlineExceeded, settled));
             }
             if !settled {
                 self.grace_ends.push_back(DueTime {
@@ -221,9 +225,9 @@
         None
     }
 
-    /// Drops the finished requests once the balancer knows of their end. Until then it may dispatch
-    /// another attempt, which must end under its own number: under another one the balancer would
-    /// count its slot as used forever.
+    /// Drops the finished requests, at the end of a tick: only then has the balancer handled the
+    /// events of their end. Before that it may dispatch another attempt, whose end must be reported
+    /// under its own number. Otherwise the balancer would count that attempt as in flight forever.
     pub fn drop_finished(&mut self) {
         for request in self.finished.drain(..) {
             let pending = self.requests.get(&request);
--- a/crates/proxy/src/forwarded_request.rs
+++ b/crates/proxy/src/forwarded_request.rs
@@ -7,24 +7,25 @@
 };
 use hyper::Request;
 
-/// The largest body of a request or a response.
+/// The largest body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// The header that tells a backend how long the client still waits, in milliseconds.
 pub const TIME_LEFT_HEADER: HeaderName = HeaderName::from_static("x-time-left-ms");
 
-/// A request as it is forwarded, the same in every attempt but for the time left.
+/// A request as it is forwarded. All attempts send the same, except for the time left.
 pub struct ForwardedRequest {
     /// Method, path and headers, without hop-by-hop headers.
     pub head: Request<()>,
     /// The complete body.
     pub body: Bytes,
-    /// Whether its client has disconnected; checked right before the first byte of each attempt.
+    /// Whether its client has disconnected. This is checked right before the first byte of each
+    /// attempt.
     pub client_disconnected: Box<dyn Fn() -> bool>,
 }
 
-/// The headers that concern a single connection whether `Connection` names them or not.
-/// `Content-Length` is among them because the next hop's is set anew, and `Expect` because the body
-/// is already complete.
+/// The headers that concern a single connection, even if `Connection` does not name them.
+/// `Content-Length` is among them because it is set anew for the next hop, and `Expect` because the
+/// body is already complete.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     TRANSFER_ENCODING,
@@ -36,16 +37,24 @@
     EXPECT,
 ];
 
+/// The options that the `Connection` headers list (RFC 9110, section 7.6.1).
+pub fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
+    let values = headers.get_all(CONNECTION).iter();
+    let readable_values = values.filter_map(|value| value.to_str().ok());
+    readable_values.flat_map(|value| value.split(',').map(str::trim))
+}
+
 /// Removes the headers that concern a single connection (RFC 9110, section 7.6.1).
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
-    let connection_values: Vec<_> = headers.get_all(CONNECTION).iter().cloned().collect();
-    for value in connection_values {
-        for option in value.to_str().unwrap_or("").split(',') {
-            if let Ok(name) = HeaderName::from_bytes(option.trim().as_bytes()) {
-                headers.remove(name);
-            }
+    let mut named_headers = Vec::new();
+    for option in connection_options(headers) {
+        if let Ok(name) = HeaderName::from_bytes(option.as_bytes()) {
+            named_headers.push(name);
         }
     }
+    for name in named_headers {
+        headers.remove(name);
+    }
     for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
