--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -4,16 +4,8 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const SETTINGS: &str = r#"{"blend":{"whole":0.6,"worst_class":0.2,"worst_tenant":0.1,"worst_window":0.1},
-"costs":{"cross_zone":0.02,"waste":0.1},"customers":[{"name":"north","quota_rps":50.0,"share":1.0}],"discovery":"automatic","position":0,"group_size":1,
-"granularity_us":5000,"kinds":["big","small"],"my_zone":"east","zones":["east","west"],"novelty":[1,{"a":2}],
-"limits":{"cancel":true,"max_attempts":3,"parallel_tries":true,"probes":true},"over_share_worth":0.1,
-"profiles":[{"name":"read","aim_us":300000,"deadline_us":900000,"effect":"free","gain":1.0,"late_worth":0.0},
-{"name":"pay","aim_us":300000,"deadline_us":900000,"effect":"single_shot","gain":4.0,"late_worth":0.2},
-{"name":"vote","aim_us":300000,"deadline_us":900000,"effect":"guarded","key_scope":"zone","window_us":500000,
-"gain":4.0,"late_worth":0.2}],
-"rules":{"answer_slack_us":16000,"cold_from":0.3,"fall_multiple":2.5,"must_ask_in_us":9000000,
-"ramp_time_us":9000000,"stop_sending_within_us":500000,"tip_after_us":2000000}}"#;
+/// Settings of an instance. `create` removes the line breaks, because a message is one line.
+const SETTINGS: &str = include_str!("settings.json");
 
 /// Creates the instance `proxy-3`.
 fn create(settings: &str) -> String {
@@ -70,7 +62,10 @@
 #[test]
 fn a_request_is_dispatched_once_and_completed_by_its_response() {
     let arrival = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
-    let response = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
+    let load_report = r#"{"active":3,"new":1}"#;
+    let response = format!(
+        r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{load_report}]"#
+    );
     let create = create(SETTINGS);
     let input = format!(
         "[\"TICK\",1000]\n{create}{ENDPOINT_LIST}[\"END\"]\n\
