--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -2,6 +2,7 @@
 //! number.
 
 use crate::error::MessageError;
+use crate::message::ListNumber;
 use brookstack_balancer::settings::stable_id;
 use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, MachineTypeId, Time, ZoneId};
 use serde_json::Value;
@@ -25,7 +26,7 @@
 /// Numbered endpoint lists, and the address of every backend that one of them has named.
 #[derive(Default)]
 pub struct EndpointLists {
-    lists: HashMap<u64, Vec<Endpoint>>,
+    lists: HashMap<ListNumber, Vec<Endpoint>>,
     addresses: HashMap<BackendId, String>,
 }
 
@@ -34,7 +35,7 @@
     ///
     /// # Errors
     /// A row is malformed, or its address has the id of another address.
-    pub fn store(&mut self, number: u64, rows: &[Value]) -> Result<(), MessageError> {
+    pub fn store(&mut self, number: ListNumber, rows: &[Value]) -> Result<(), MessageError> {
         let mut endpoints = Vec::with_capacity(rows.len());
         for row in rows {
             let parsed = parse_row(row)?;
@@ -46,8 +47,8 @@
     }
 
     /// The list with this number.
-    pub fn get(&self, number: u64) -> Option<&Vec<Endpoint>> {
-        self.lists.get(&number)
+    pub fn get(&self, number: ListNumber) -> Option<&[Endpoint]> {
+        self.lists.get(&number).map(Vec::as_slice)
     }
 
     /// The address of a backend; empty if no list has named it.
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,171 +1,179 @@
-//! Turns a message for one instance into the balancer's event.
+//! Decodes the messages that report an event to one instance.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
-use crate::message::{Message, MessageKind};
+use crate::message::{EncodedEvent, EventKind, Field, ListNumber};
 use brookstack_balancer::settings::Names;
 use brookstack_balancer::{
-    Arrival, AttemptEnd, AttemptNumber, ClassId, EndpointUpdate, Event, Micros, Outcome, RequestId,
-    TenantId, TimerToken,
+    Arrival, AttemptEnd, AttemptNumber, ClassId, Endpoint, EndpointUpdate, Event, Micros, Outcome,
+    RequestId, TenantId, TimerToken,
 };
 use serde_json::Value;
 
-/// Index of values that several messages have.
-mod common_value {
-    pub const REQUEST: usize = 1;
-    pub const ATTEMPT: usize = 2;
-}
-
-/// Index of the values of `VIEW`.
-mod update_value {
-    pub const LIST_NUMBER: usize = 1;
-    pub const KIND: usize = 3;
-}
-
-/// Index of the values of `JOB_IN`.
-mod arrival_value {
-    pub const WORK_HINT: usize = 2;
-    pub const TIME_LEFT: usize = 3;
-    pub const TENANT: usize = 5;
-    pub const FLAGS: usize = 6;
-    pub const CLASS: usize = 7;
-}
+#[cfg(test)]
+mod tests;
 
-/// Index of the values of `RETURNED`.
-mod attempt_end_value {
-    pub const BACKEND: usize = 3;
-    pub const OUTCOME: usize = 4;
-    pub const LATENCY: usize = 5;
-    pub const SETTLED: usize = 6;
-}
-
-/// Index of the token of `TIMEOUT_FIRED`.
-const TIMER_TOKEN: usize = 1;
-
-/// Set in the flags of `JOB_IN` where the request names the work that it is expected to take.
+/// Set in the flags of an arrival if the client states how much work the request is expected to be.
 const FLAG_WORK_HINT: u64 = 1;
-/// Set in the flags of `JOB_IN` where the request is a client's retry.
+/// Set in the flags of an arrival if the client marks the request as a retry.
 const FLAG_RETRY: u64 = 2;
 
 const EXPECTED_OUTCOME: &str = "an outcome code from 0 to 7";
 
-/// The event that a message reports; `None` for messages that the balancer has no use for, as it
-/// exchanges no messages with its peers and makes no health checks.
+/// Decodes an event. The result is `None` for events that the balancer has no use for: it
+/// exchanges no messages with other instances and makes no health checks.
 ///
 /// # Errors
-/// A value is not what the message must have, or names a list, class or tenant that is not known.
+/// A value is not what the message must have, or it names an unknown list, class or tenant.
 pub fn decode(
-    message: &Message,
+    event: &EncodedEvent,
     names: &Names,
     lists: &EndpointLists,
 ) -> Result<Option<Event>, MessageError> {
-    let event = match message.kind() {
-        MessageKind::EndpointsUpdated => endpoints_updated(message, lists)?,
-        MessageKind::RequestArrived => Event::Request(arrival(message, names)?),
-        MessageKind::StreamStarted => Event::StreamStarted {
-            request: request(message)?,
-            attempt: attempt(message)?,
-        },
-        MessageKind::AttemptEnded => Event::AttemptEnded(attempt_end(message)?),
-        MessageKind::ClientDisconnected => Event::ClientDisconnected {
-            request: request(message)?,
-        },
-        MessageKind::TimerFired => Event::Timer {
-            token: TimerToken(message.unsigned(TIMER_TOKEN, "a token")?),
-        },
-        _ => return Ok(None),
+    let event = match event.kind() {
+        EventKind::EndpointsUpdated => decode_endpoints_updated(event, lists)?,
+        EventKind::RequestArrived => Event::Request(decode_arrival(event, names)?),
+        EventKind::StreamStarted => decode_stream_started(event)?,
+        EventKind::AttemptEnded => Event::AttemptEnded(decode_attempt_end(event)?),
+        EventKind::ClientDisconnected => decode_client_disconnected(event)?,
+        EventKind::TimerFired => decode_timer_fired(event)?,
+        EventKind::PeerMessage | EventKind::HealthCheckResult => return Ok(None),
     };
     Ok(Some(event))
 }
 
-fn request(message: &Message) -> Result<RequestId, MessageError> {
-    message.request_id(common_value::REQUEST).map(RequestId)
-}
-
-fn attempt(message: &Message) -> Result<AttemptNumber, MessageError> {
-    let number = message.unsigned(common_value::ATTEMPT, "an attempt")?;
-    Ok(AttemptNumber(number as u32))
-}
-
-fn endpoints_updated(message: &Message, lists: &EndpointLists) -> Result<Event, MessageError> {
-    let update = match message.text(update_value::KIND, "a list kind")? {
-        "incr" => EndpointUpdate::Delta,
-        "total" => EndpointUpdate::Snapshot,
-        "warm_copy" => EndpointUpdate::Cached,
-        "lost" => EndpointUpdate::WatchFailed,
-        _ => {
-            return Err(message.invalid_value(update_value::KIND, "incr, total, warm_copy or lost"))
-        }
-    };
+fn decode_endpoints_updated(
+    event: &EncodedEvent,
+    lists: &EndpointLists,
+) -> Result<Event, MessageError> {
+    let [_instance, list_number, _version, update] = event.fields()?;
+    let update = decode_update(update)?;
     let endpoints = if update == EndpointUpdate::WatchFailed {
+        // A failed watch brings no list, so the number is not read.
         Vec::new()
     } else {
-        let number = message.unsigned(update_value::LIST_NUMBER, "a roster number")?;
-        lists.get(number).cloned().ok_or_else(|| {
-            message.invalid_value(update_value::LIST_NUMBER, "a known roster number")
-        })?
+        find_list(list_number, lists)?.to_vec()
     };
     Ok(Event::EndpointsUpdated { update, endpoints })
 }
 
-fn arrival(message: &Message, names: &Names) -> Result<Arrival, MessageError> {
-    let flags = message.value(arrival_value::FLAGS).as_u64().unwrap_or(0);
+fn find_list<'a>(field: Field, lists: &'a EndpointLists) -> Result<&'a [Endpoint], MessageError> {
+    let number = field.unsigned("a roster number")?;
+    lists
+        .get(ListNumber(number))
+        .ok_or_else(|| field.invalid("a known roster number"))
+}
+
+fn decode_update(field: Field) -> Result<EndpointUpdate, MessageError> {
+    match field.text("a list kind")? {
+        "incr" => Ok(EndpointUpdate::Delta),
+        "total" => Ok(EndpointUpdate::Snapshot),
+        "warm_copy" => Ok(EndpointUpdate::Cached),
+        "lost" => Ok(EndpointUpdate::WatchFailed),
+        _ => Err(field.invalid("incr, total, warm_copy or lost")),
+    }
+}
+
+fn decode_arrival(event: &EncodedEvent, names: &Names) -> Result<Arrival, MessageError> {
+    let [_instance, request, work_hint, time_left, _key, tenant, flags, class] = event.fields()?;
+    let flags = flags.value().as_u64().unwrap_or(0);
     let has_work_hint = flags & FLAG_WORK_HINT != 0;
+    let work_hint = match work_hint.value().as_u64() {
+        Some(micros) if has_work_hint => Some(Micros(micros)),
+        _ => None,
+    };
+    let request = decode_request(request)?;
+    let time_left = time_left.unsigned("the time left in microseconds")?;
+    let tenant = decode_tenant(tenant, names)?;
+    let class = decode_class(class, names)?;
     Ok(Arrival {
-        request: request(message)?,
-        work_hint: message
-            .value(arrival_value::WORK_HINT)
-            .as_u64()
-            .filter(|_| has_work_hint)
-            .map(Micros),
+        request,
+        class,
+        tenant,
+        time_left: Micros(time_left),
+        work_hint,
         is_retry: flags & FLAG_RETRY != 0,
-        time_left: Micros(
-            message.unsigned(arrival_value::TIME_LEFT, "the time left in microseconds")?,
-        ),
-        tenant: tenant(message, names)?,
-        class: class(message, names)?,
     })
 }
 
-fn tenant(message: &Message, names: &Names) -> Result<Option<TenantId>, MessageError> {
-    let Value::String(name) = message.value(arrival_value::TENANT) else {
+/// Decodes the tenant of a request. Any value but text stands for a request without a tenant.
+fn decode_tenant(field: Field, names: &Names) -> Result<Option<TenantId>, MessageError> {
+    let Value::String(name) = field.value() else {
         return Ok(None);
     };
-    names
-        .tenant(name)
-        .map(Some)
-        .ok_or_else(|| message.invalid_value(arrival_value::TENANT, "a known tenant"))
+    match names.tenant(name) {
+        Some(tenant) => Ok(Some(tenant)),
+        None => Err(field.invalid("a known tenant")),
+    }
 }
 
-fn class(message: &Message, names: &Names) -> Result<ClassId, MessageError> {
+fn decode_class(field: Field, names: &Names) -> Result<ClassId, MessageError> {
+    let name = field.text("a class")?;
     names
-        .class(message.text(arrival_value::CLASS, "a class")?)
-        .ok_or_else(|| message.invalid_value(arrival_value::CLASS, "a known class"))
+        .class(name)
+        .ok_or_else(|| field.invalid("a known class"))
 }
 
-fn attempt_end(message: &Message) -> Result<AttemptEnd, MessageError> {
-    message.text(attempt_end_value::BACKEND, "a backend")?;
+fn decode_stream_started(event: &EncodedEvent) -> Result<Event, MessageError> {
+    let [_instance, request, attempt, _backend, _latency] = event.fields()?;
+    let request = decode_request(request)?;
+    let attempt = decode_attempt(attempt)?;
+    Ok(Event::StreamStarted { request, attempt })
+}
+
+fn decode_attempt_end(event: &EncodedEvent) -> Result<AttemptEnd, MessageError> {
+    let [_instance, request, attempt, backend, outcome, latency, settled, _load_report] =
+        event.fields()?;
+    // The balancer knows the backend from the request and the attempt.
+    let _checked_backend = backend.text("a backend")?;
+    let request = decode_request(request)?;
+    let attempt = decode_attempt(attempt)?;
+    let outcome = decode_outcome(outcome)?;
+    let latency = latency.unsigned("a time in microseconds")?;
+    let settled = settled.boolean("true or false")?;
     Ok(AttemptEnd {
-        request: request(message)?,
-        attempt: attempt(message)?,
-        outcome: outcome(message)?,
-        latency: Micros(message.unsigned(attempt_end_value::LATENCY, "a time in microseconds")?),
-        settled: message.boolean(attempt_end_value::SETTLED, "true or false")?,
+        request,
+        attempt,
+        outcome,
+        latency: Micros(latency),
+        settled,
+    })
+}
+
+fn decode_outcome(field: Field) -> Result<Outcome, MessageError> {
+    match field.unsigned(EXPECTED_OUTCOME)? {
+        0 => Ok(Outcome::Error),
+        1 => Ok(Outcome::Success),
+        2 => Ok(Outcome::Rejected),
+        3 => Ok(Outcome::TimedOut),
+        4 => Ok(Outcome::ConnectFailed),
+        5 => Ok(Outcome::Reset),
+        6 => Ok(Outcome::Cancelled),
+        7 => Ok(Outcome::NotSent),
+        _ => Err(field.invalid(EXPECTED_OUTCOME)),
+    }
+}
+
+fn decode_client_disconnected(event: &EncodedEvent) -> Result<Event, MessageError> {
+    let [_instance, request] = event.fields()?;
+    let request = decode_request(request)?;
+    Ok(Event::ClientDisconnected { request })
+}
+
+fn decode_timer_fired(event: &EncodedEvent) -> Result<Event, MessageError> {
+    let [_instance, token] = event.fields()?;
+    let token = token.unsigned("a token")?;
+    Ok(Event::Timer {
+        token: TimerToken(token),
     })
 }
 
-fn outcome(message: &Message) -> Result<Outcome, MessageError> {
-    Ok(
-        match message.unsigned(attempt_end_value::OUTCOME, EXPECTED_OUTCOME)? {
-            0 => Outcome::Error,
-            1 => Outcome::Success,
-            2 => Outcome::Rejected,
-            3 => Outcome::TimedOut,
-            4 => Outcome::ConnectFailed,
-            5 => Outcome::Reset,
-            6 => Outcome::Cancelled,
-            7 => Outcome::NotSent,
-            _ => return Err(message.invalid_value(attempt_end_value::OUTCOME, EXPECTED_OUTCOME)),
-        },
-    )
+fn decode_request(field: Field) -> Result<RequestId, MessageError> {
+    let id = field.request_id()?;
+    Ok(RequestId(id))
+}
+
+fn decode_attempt(field: Field) -> Result<AttemptNumber, MessageError> {
+    let number = field.unsigned("an attempt")?;
+    Ok(AttemptNumber(number as u32))
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -4,21 +4,15 @@
 use crate::endpoint_lists::EndpointLists;
 use crate::error::{InvalidSettings, MessageError};
 use crate::event;
-use crate::message::{Message, MessageKind};
+use crate::message::{
+    decode_clock, EncodedEvent, EncodedMessage, InstanceReference, Message, MessageKind,
+};
 use crate::PROGRAM_NAME;
 use brookstack_balancer::settings::{self, Key, Names};
 use brookstack_balancer::{Action, Balancer, Time};
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// What comes before the number in an instance's name.
-const INSTANCE_PREFIX: &str = "proxy-";
-/// Index of the instance in every message that has one.
-const INSTANCE: usize = 0;
-/// The highest number that an endpoint list can have.
-const MAX_LIST_NUMBER: u64 = 15;
-const EXPECTED_LIST_NUMBER: &str = "a roster number from 0 to 15";
-
 /// Whether the batch that a message belongs to goes on after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
@@ -56,7 +50,7 @@
 }
 
 impl Host {
-    /// Handles one line of input and appends what it leads to to the reply.
+    /// Handles one line of input and appends the lines that answer it to the reply.
     ///
     /// # Errors
     /// The line is not a valid message. The state of the host is undefined then.
@@ -66,53 +60,48 @@
         reply: &mut Vec<u8>,
     ) -> Result<BatchState, MessageError> {
         let line: Value = serde_json::from_str(line)?;
-        let message = Message::from_json(&line)?;
-        if message.kind() == MessageKind::SetClock {
-            let now = message.unsigned(0, "the clock in microseconds")?;
-            self.now = Some(Time(now));
-            return Ok(BatchState::Open);
-        }
+        let message = EncodedMessage::from_json(&line)?;
         let Some(now) = self.now else {
-            return Err(MessageError::ClockNotSet {
-                message: message.name(),
-            });
+            return self.start_batch(&message);
         };
-        match message.kind() {
-            MessageKind::EndBatch => {
+        match Message::decode(&message)? {
+            Message::SetClock { now } => self.now = Some(now),
+            Message::EndBatch => {
                 self.now = None;
                 encode::write_end(reply);
                 return Ok(BatchState::Complete);
             }
-            MessageKind::StoreEndpointList => self.store_endpoint_list(&message)?,
-            MessageKind::CreateInstance => self.create_instance(&message, reply)?,
-            MessageKind::RemoveInstance => self.remove_instance(&message)?,
-            _ => self.handle_event(&message, now, reply)?,
+            Message::StoreEndpointList { number, rows } => self.lists.store(number, rows)?,
+            Message::CreateInstance {
+                name,
+                seed,
+                settings,
+            } => self.create_instance(name, seed, settings, reply),
+            Message::RemoveInstance { instance } => self.remove_instance(instance)?,
+            Message::Event { instance, event } => {
+                self.handle_event(instance, &event, now, reply)?;
+            }
         }
         Ok(BatchState::Open)
     }
 
-    fn store_endpoint_list(&mut self, message: &Message) -> Result<(), MessageError> {
-        let number = message.unsigned(0, EXPECTED_LIST_NUMBER)?;
-        if number > MAX_LIST_NUMBER {
-            return Err(message.invalid_value(0, EXPECTED_LIST_NUMBER));
+    /// Sets the clock of a new batch. Without a clock no other message is valid, whatever its
+    /// values are.
+    fn start_batch(&mut self, message: &EncodedMessage) -> Result<BatchState, MessageError> {
+        if message.kind() != MessageKind::SetClock {
+            return Err(MessageError::ClockNotSet {
+                message: message.name(),
+            });
         }
-        let rows = message.array(1, "an array of entries")?;
-        self.lists.store(number, rows)
+        let now = decode_clock(message)?;
+        self.now = Some(now);
+        Ok(BatchState::Open)
     }
 
-    /// Creates an instance. Invalid settings are a fault of this instance alone: it is reported,
-    /// and the others go on.
-    fn create_instance(
-        &mut self,
-        message: &Message,
-        reply: &mut Vec<u8>,
-    ) -> Result<(), MessageError> {
-        let name = message.text(INSTANCE, "an instance")?;
-        if !is_instance_name(name) {
-            return Err(message.invalid_value(INSTANCE, "an instance such as proxy-3"));
-        }
-        let seed = message.unsigned(1, "a seed")?;
-        let instance = match Instance::new(message.value(2), seed) {
+    /// Creates an instance. If its settings are invalid, the reply reports it, and the process goes
+    /// on with the other instances.
+    fn create_instance(&mut self, name: &str, seed: u64, settings: &Value, reply: &mut Vec<u8>) {
+        let instance = match Instance::new(settings, seed) {
             Ok(instance) => Some(instance),
             Err(error) => {
                 eprintln!("{PROGRAM_NAME}: settings of {name}: {error}");
@@ -121,33 +110,31 @@
             }
         };
         self.instances.insert(name.into(), instance);
-        Ok(())
     }
 
-    fn remove_instance(&mut self, message: &Message) -> Result<(), MessageError> {
-        let name = message.text(INSTANCE, "an instance")?;
-        self.instances
-            .remove(name)
-            .map(drop)
-            .ok_or_else(|| message.invalid_value(INSTANCE, "a known instance"))
+    fn remove_instance(&mut self, instance: InstanceReference) -> Result<(), MessageError> {
+        match self.instances.remove(instance.name()) {
+            Some(_) => Ok(()),
+            None => Err(instance.unknown()),
+        }
     }
 
     /// Passes an event on to its instance and writes the actions that the balancer returns.
     fn handle_event(
         &mut self,
-        message: &Message,
+        reference: InstanceReference,
+        event: &EncodedEvent,
         now: Time,
         reply: &mut Vec<u8>,
     ) -> Result<(), MessageError> {
-        let name = message.text(INSTANCE, "an instance")?;
-        let slot = self
-            .instances
-            .get_mut(name)
-            .ok_or_else(|| message.invalid_value(INSTANCE, "a known instance"))?;
+        let name = reference.name();
+        let Some(slot) = self.instances.get_mut(name) else {
+            return Err(reference.unknown());
+        };
         let Some(instance) = slot else {
             return Ok(());
         };
-        let Some(event) = event::decode(message, &instance.names, &self.lists)? else {
+        let Some(event) = event::decode(event, &instance.names, &self.lists)? else {
             return Ok(());
         };
         instance.balancer.handle(now, event, &mut self.actions);
@@ -157,9 +144,3 @@
         Ok(())
     }
 }
-
-/// Whether a name is `proxy-` and a number: replies are written without escaping it.
-fn is_instance_name(name: &str) -> bool {
-    name.strip_prefix(INSTANCE_PREFIX)
-        .is_some_and(|number| number.parse::<u64>().is_ok())
-}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,9 +3,13 @@
 //! The program only translates. Every decision is made by a [`brookstack_balancer::Balancer`], one
 //! per simulated proxy.
 //!
-//! Modules: [`message`] reads a line's name and values, [`host`] owns the instances and the clock,
-//! [`endpoint_lists`] owns the shared endpoint lists, [`event`] turns a message into a balancer
-//! event and [`encode`] turns the balancer's actions into reply lines.
+//! Modules:
+//!
+//! - [`message`] decodes a line, except for the values of an event.
+//! - [`host`] owns the instances and the clock, and handles each message.
+//! - [`event`] decodes the values of an event into the balancer's event.
+//! - [`endpoint_lists`] owns the endpoint lists, which all instances share.
+//! - [`encode`] writes the balancer's actions as reply lines.
 #![forbid(unsafe_code)]
 
 mod encode;
--- /dev/null
+++ b/crates/simulator-adapter/src/message/decode.rs
@@ -0,0 +1,84 @@
+//! Decodes the values of the messages, except those of events.
+
+use super::{EncodedEvent, EncodedMessage, ListNumber, Message, MessageKind};
+use crate::error::MessageError;
+use brookstack_balancer::Time;
+
+/// What comes before the number in an instance's name.
+const INSTANCE_PREFIX: &str = "proxy-";
+/// The highest number that an endpoint list can have.
+const MAX_LIST_NUMBER: u64 = 15;
+const EXPECTED_LIST_NUMBER: &str = "a roster number from 0 to 15";
+
+impl<'a> Message<'a> {
+    /// Decodes the values of a message, except those of an event.
+    ///
+    /// # Errors
+    /// A value is not what the message must have.
+    pub fn decode(message: &EncodedMessage<'a>) -> Result<Message<'a>, MessageError> {
+        match message.kind() {
+            MessageKind::SetClock => {
+                let now = decode_clock(message)?;
+                Ok(Message::SetClock { now })
+            }
+            MessageKind::EndBatch => Ok(Message::EndBatch),
+            MessageKind::StoreEndpointList => decode_endpoint_list(message),
+            MessageKind::CreateInstance => decode_new_instance(message),
+            MessageKind::RemoveInstance => {
+                let instance = message.instance()?;
+                Ok(Message::RemoveInstance { instance })
+            }
+            MessageKind::Event(kind) => {
+                let instance = message.instance()?;
+                let event = EncodedEvent::new(kind, *message);
+                Ok(Message::Event { instance, event })
+            }
+        }
+    }
+}
+
+/// Decodes the time of [`MessageKind::SetClock`].
+///
+/// # Errors
+/// The time is not a number of microseconds.
+pub fn decode_clock(message: &EncodedMessage) -> Result<Time, MessageError> {
+    let [time] = message.fields()?;
+    let micros = time.unsigned("the clock in microseconds")?;
+    Ok(Time(micros))
+}
+
+fn decode_endpoint_list<'a>(message: &EncodedMessage<'a>) -> Result<Message<'a>, MessageError> {
+    let [number_field, rows] = message.fields()?;
+    let number = number_field.unsigned(EXPECTED_LIST_NUMBER)?;
+    if number > MAX_LIST_NUMBER {
+        return Err(number_field.invalid(EXPECTED_LIST_NUMBER));
+    }
+    let rows = rows.array("an array of entries")?;
+    Ok(Message::StoreEndpointList {
+        number: ListNumber(number),
+        rows,
+    })
+}
+
+fn decode_new_instance<'a>(message: &EncodedMessage<'a>) -> Result<Message<'a>, MessageError> {
+    let [name_field, seed, settings] = message.fields()?;
+    let name = name_field.text("an instance")?;
+    if !is_instance_name(name) {
+        return Err(name_field.invalid("an instance such as proxy-3"));
+    }
+    let seed = seed.unsigned("a seed")?;
+    Ok(Message::CreateInstance {
+        name,
+        seed,
+        settings: settings.value(),
+    })
+}
+
+/// Whether a name is `proxy-` and a number. Replies contain the name without JSON escapes, so that
+/// it must not hold a character that JSON escapes.
+fn is_instance_name(name: &str) -> bool {
+    match name.strip_prefix(INSTANCE_PREFIX) {
+        Some(number) => number.parse::<u64>().is_ok(),
+        None => false,
+    }
+}
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -250,3 +250,35 @@
         assert!(run.output.contains(key), "{invalid}: {}", run.output);
     }
 }
+
+/// The name and the number of values are checked all the same, and so is whether the clock is set.
+#[test]
+fn an_event_for_an_instance_with_invalid_settings_is_skipped_whatever_its_values_are() {
+    let create = "[\"CREATE\",\"proxy-3\",99,{}]\n";
+    let event = r#"["JOB_IN","proxy-3",null,null,null,null,null,null,null]"#;
+    let skipped = run(&format!("[\"TICK\",1]\n{create}{event}\n[\"END\"]\n"));
+    assert!(skipped.success, "{}", skipped.errors);
+    let replies: Vec<&str> = skipped.output.lines().collect();
+    assert_eq!(replies.len(), 2, "{}", skipped.output);
+    assert!(replies[0].starts_with("[\"BROKEN\",\"proxy-3\","));
+    assert_eq!(replies[1], "[\"YIELD\"]");
+
+    let short_event = r#"["JOB_IN","proxy-3"]"#;
+    let rejected = run(&format!("[\"TICK\",1]\n{create}{short_event}\n"));
+    assert!(!rejected.success);
+    let expected_error = "line 3: JOB_IN: expected 8 values, got 1";
+    assert!(
+        rejected.errors.contains(expected_error),
+        "{}",
+        rejected.errors
+    );
+
+    let without_clock = run(&format!("{event}\n"));
+    assert!(!without_clock.success);
+    let expected_error = "line 1: JOB_IN: expected TICK first";
+    assert!(
+        without_clock.errors.contains(expected_error),
+        "{}",
+        without_clock.errors
+    );
+}
