--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -17,7 +17,7 @@
 pub fn write_action(instance: &str, action: &Action, lists: &EndpointLists, reply: &mut Vec<u8>) {
     let _ = match action {
         Action::Dispatch { request, backend } => {
-            let address = lists.address(*backend);
+            let address = lists.address(*backend).unwrap_or_default();
             let request = request.0;
             writeln!(
                 reply,
