--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,71 +1,88 @@
-//! Reply lines: the balancer's actions, faults of an instance and the end of a batch.
+//! Writes reply lines: the balancer's actions, invalid settings of an instance, and the end of a
+//! batch.
 //!
-//! Names of instances and addresses of backends are checked on input to hold nothing that JSON
-//! would escape, so they are written as they are. Writing to a vector cannot fail.
+//! Names of instances and addresses of backends are written without JSON escapes: decoding has
+//! checked that they hold no character that JSON escapes. Results of writes are ignored, because a
+//! write to a vector cannot fail.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::InvalidSettings;
-use brookstack_balancer::{Action, LogEvent};
+use brookstack_balancer::{Action, BackendId, LogEvent};
 use serde_json::{json, Value};
-use std::io::Write;
+use std::io::{self, Write};
+
+#[cfg(test)]
+mod tests;
 
 /// The line that ends the reply to a batch.
 const END_OF_REPLY: &[u8] = b"[\"YIELD\"]\n";
 
-/// Writes the line of an action of an instance. [`Action::LimitIdleConnections`] has none: the
-/// simulator closes idle connections by itself.
+/// Writes the line of an action of an instance. [`Action::LimitIdleConnections`] has none, because
+/// the simulator closes idle connections by itself.
 pub fn write_action(instance: &str, action: &Action, lists: &EndpointLists, reply: &mut Vec<u8>) {
     let _ = match action {
         Action::Dispatch { request, backend } => {
-            let address = lists.address(*backend).unwrap_or_default();
             let request = request.0;
+            let address = lists.address(*backend).unwrap_or_default();
             writeln!(
                 reply,
-                "[\"HAND_OFF\",\"{instance}\",\"{request:016x}\",\"{address}\",0]"
+                r#"["HAND_OFF","{instance}","{request:016x}","{address}",0]"#
             )
         }
         Action::Reject { request } => {
             let request = request.0;
-            writeln!(reply, "[\"BOUNCE\",\"{instance}\",\"{request:016x}\",0]")
+            writeln!(reply, r#"["BOUNCE","{instance}","{request:016x}",0]"#)
         }
         Action::Fail { request } => {
             let request = request.0;
-            writeln!(reply, "[\"LOSE\",\"{instance}\",\"{request:016x}\"]")
+            writeln!(reply, r#"["LOSE","{instance}","{request:016x}"]"#)
         }
         Action::Cancel { request, attempt } => {
             let request = request.0;
             let attempt = attempt.0;
             writeln!(
                 reply,
-                "[\"RECALL\",\"{instance}\",\"{request:016x}\",{attempt}]"
+                r#"["RECALL","{instance}","{request:016x}",{attempt}]"#
             )
         }
         Action::SetTimer { token, after } => {
-            writeln!(reply, "[\"AFTER\",\"{instance}\",{},{}]", token.0, after.0)
+            let token = token.0;
+            let after = after.0;
+            writeln!(reply, r#"["AFTER","{instance}",{token},{after}]"#)
         }
         Action::LimitIdleConnections { .. } => Ok(()),
-        Action::WatchEndpoints => writeln!(reply, "[\"FOLLOW\",\"{instance}\",true]"),
+        Action::WatchEndpoints => writeln!(reply, r#"["FOLLOW","{instance}",true]"#),
         Action::Log(event) => {
-            write_json(&json!(["WRITE_LOG", instance, log_text(*event)]), reply);
-            Ok(())
+            let text = log_text(*event, lists);
+            write_json(&json!(["WRITE_LOG", instance, text]), reply)
         }
     };
 }
 
-fn log_text(event: LogEvent) -> String {
+/// The text of a line of the operators' log.
+fn log_text(event: LogEvent, lists: &EndpointLists) -> String {
     match event {
         LogEvent::BackendEjected { backend, outcome } => {
-            format!("backend {} ejected: {outcome:?}", backend.0)
+            let backend = backend_name(backend, lists);
+            format!("backend {backend} ejected: {outcome:?}")
         }
         LogEvent::WatchFailed => "discovery watch failed, polling again".into(),
         LogEvent::WatchTimedOut => "discovery watch timed out, polling again".into(),
     }
 }
 
+/// The address of a backend, by which operators can look it up; its id if no list has named it.
+fn backend_name(backend: BackendId, lists: &EndpointLists) -> String {
+    match lists.address(backend) {
+        Some(address) => address.into(),
+        None => format!("with id {}", backend.0),
+    }
+}
+
 /// Writes the line that reports that the settings of an instance are invalid.
 pub fn write_fault(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
     let text = format!("settings: {error}");
-    write_json(&json!(["BROKEN", instance, text]), reply);
+    let _ = write_json(&json!(["BROKEN", instance, text]), reply);
 }
 
 /// Writes the line that ends the reply to a batch.
@@ -73,6 +90,6 @@
     reply.extend_from_slice(END_OF_REPLY);
 }
 
-fn write_json(line: &Value, reply: &mut Vec<u8>) {
-    let _ = writeln!(reply, "{line}");
+fn write_json(line: &Value, reply: &mut Vec<u8>) -> io::Result<()> {
+    writeln!(reply, "{line}")
 }
