--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Writes the line that reports that the settings of an instance are invalid.
+/// Writes the line that reports invalid settings of an instance.
 pub fn write_fault(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
     let text = format!("settings: {error}");
     let _ = write_json(&json!(["BROKEN", instance, text]), reply);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,27 +1,27 @@
-//! Errors of the adapter: what was expected, where, and what was found.
+//! Errors of the adapter. Each says where it occurred, what was expected and what was found.
 
 use brookstack_balancer::settings::SettingsError;
 use brookstack_balancer::ConfigError;
 use serde_json::Value;
 use std::io;
 
-/// Ends the process.
+/// An error that ends the process.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input could not be read.
     #[error("line {line}: {source}")]
     Read {
-        /// The line's number, from 1.
+        /// The number of the line, from 1.
         line: u64,
-        /// The failure of the read.
+        /// Why the read failed.
         source: io::Error,
     },
     /// A line is not a valid message.
     #[error("line {line}: {source}")]
     Message {
-        /// The line's number, from 1.
+        /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         source: MessageError,
     },
     /// Standard output could not be written.
@@ -29,7 +29,7 @@
     Write {
         /// The number of the line that completed the batch, from 1.
         line: u64,
-        /// The failure of the write.
+        /// Why the write failed.
         source: io::Error,
     },
 }
@@ -49,23 +49,23 @@
     /// No message has this name.
     #[error("unknown message {0}")]
     UnknownName(String),
-    /// The message has too few or too many values.
+    /// The number of values after the name is not that of the message.
     #[error("{message}: expected {expected} values, got {got}")]
     ValueCount {
         /// The message's name.
         message: &'static str,
-        /// Values that the message has.
+        /// How many values the message must have.
         expected: usize,
-        /// Values that the line has.
+        /// How many values the line has.
         got: usize,
     },
-    /// The message came before the clock of its batch was set.
+    /// The line is between two batches, where only a message that sets the clock is valid.
     #[error("{message}: expected TICK first")]
     ClockNotSet {
         /// The message's name.
         message: &'static str,
     },
-    /// A value of the message is not what it should be.
+    /// A value of the message has the wrong type or is out of range, or it names something unknown.
     #[error("{message}: value {index}: expected {expected}, got {got}")]
     InvalidValue {
         /// The message's name.
@@ -74,10 +74,11 @@
         index: usize,
         /// What was expected.
         expected: &'static str,
-        /// What the line has.
+        /// The value that the line has.
         got: Value,
     },
-    /// A row of an endpoint list is not what it should be.
+    /// A row of an endpoint list is not an array of the right length, or one of its values has the
+    /// wrong type or is out of range.
     #[error("list entry {row}: expected {expected}")]
     InvalidRow {
         /// The row as received.
@@ -90,18 +91,19 @@
     BackendIdCollision {
         /// The row as received.
         row: Value,
-        /// The address that has had this id before.
+        /// The address that an earlier row had with this id.
         known_address: String,
     },
 }
 
-/// Why an instance could not be created: reported on the wire as the fault of this instance.
+/// Why an instance could not be created. The reply reports it to the simulator, and the other
+/// instances go on.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSettings {
-    /// The settings could not be read; the text names the key.
+    /// A key is missing or has an invalid value. The text of the error names the key.
     #[error(transparent)]
     Unreadable(#[from] SettingsError),
-    /// The settings were read, and the balancer rejects them.
+    /// Every key could be read, but the balancer rejects the configuration.
     #[error(transparent)]
     Rejected(#[from] ConfigError),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of this process, and what each message does to them.
+//! Owns the instances of this process and carries out each message.
 
 use crate::encode;
 use crate::endpoint_lists::EndpointLists;
@@ -13,23 +13,24 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Whether the batch that a message belongs to goes on after it.
+/// Whether a batch is complete after one of its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// More messages follow before the reply is due.
+    /// More messages of the batch follow.
     Open,
-    /// The reply is complete and due now.
+    /// The reply is complete and must be written now.
     Complete,
 }
 
-/// One simulated proxy: its balancer, and the names of its classes and tenants.
+/// One simulated proxy.
 struct Instance {
     balancer: Balancer,
+    /// The names of its classes and tenants, by which events refer to them.
     names: Names,
 }
 
 impl Instance {
-    /// Creates a balancer from JSON settings.
+    /// Creates an instance from its settings and the seed of its random generator.
     fn new(settings: &Value, seed: u64) -> Result<Instance, InvalidSettings> {
         let (config, names) = settings::read(&Key::root(settings))?;
         let balancer = Balancer::new(config, seed)?;
@@ -37,15 +38,17 @@
     }
 }
 
-/// All instances of this process, the endpoint lists that they share, and the clock.
+/// All instances of this process, the endpoint lists that they share, and the clock of the batch.
 #[derive(Default)]
 pub struct Host {
-    /// By name; `None` where the settings were invalid: its messages are skipped.
+    /// Instances by name. `None` stands for an instance whose settings were invalid; its events are
+    /// skipped.
     instances: HashMap<String, Option<Instance>>,
     lists: EndpointLists,
-    /// The time of the current batch; `None` between two batches.
+    /// The time of all messages of the current batch. `None` between two batches.
     now: Option<Time>,
-    /// Empty between two messages; kept for its allocation.
+    /// The actions of one event. It is empty between two messages, and is a field so that its
+    /// memory is used again.
     actions: Vec<Action>,
 }
 
@@ -53,7 +56,8 @@
     /// Handles one line of input and appends the lines that answer it to the reply.
     ///
     /// # Errors
-    /// The line is not a valid message. The state of the host is undefined then.
+    /// The line is not a valid message. The caller must not use the host afterwards, because the
+    /// message may have been carried out in part.
     pub fn handle_line(
         &mut self,
         line: &str,
@@ -85,8 +89,10 @@
         Ok(BatchState::Open)
     }
 
-    /// Sets the clock of a new batch. Without a clock no other message is valid, whatever its
-    /// values are.
+    /// Sets the clock of a new batch. Other messages are rejected before their values are decoded.
+    ///
+    /// # Errors
+    /// The message does not set the clock, or its time is invalid.
     fn start_batch(&mut self, message: &EncodedMessage) -> Result<BatchState, MessageError> {
         if message.kind() != MessageKind::SetClock {
             return Err(MessageError::ClockNotSet {
@@ -132,6 +138,7 @@
             return Err(reference.unknown());
         };
         let Some(instance) = slot else {
+            // Its settings were invalid, which the reply to its creation has reported.
             return Ok(());
         };
         let Some(event) = event::decode(event, &instance.names, &self.lists)? else {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Hosts instances of the balancer for a simulator: JSON lines on standard input and output.
 //!
-//! The program only translates. Every decision is made by a [`brookstack_balancer::Balancer`], one
-//! per simulated proxy.
+//! The program only translates between lines and the balancer's events and actions. Each simulated
+//! proxy has a [`brookstack_balancer::Balancer`] of its own, which makes all decisions.
 //!
 //! Modules:
 //!
@@ -21,15 +21,15 @@
 
 use crate::error::AdapterError;
 use crate::host::{BatchState, Host};
-use std::io::{BufRead, Write};
+use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Starts every line that this program writes to standard error.
+/// The name that starts every line on standard error.
 const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
 
 fn main() -> ExitCode {
-    let input = std::io::stdin().lock();
-    let output = std::io::stdout().lock();
+    let input = io::stdin().lock();
+    let output = io::stdout().lock();
     match run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -39,30 +39,36 @@
     }
 }
 
-/// Answers batches of messages until the input ends; a reply is written when its batch is complete.
+/// Handles the lines of the input until it ends. The reply to a batch is written when the batch is
+/// complete.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Vec::new();
     let mut text = String::new();
+    // The number of the line, from 1.
     let mut line = 0;
     loop {
-        text.clear();
         line += 1;
+        text.clear();
         let length = input
             .read_line(&mut text)
             .map_err(|source| AdapterError::Read { line, source })?;
-        if length == 0 {
+        let is_end_of_input = length == 0;
+        if is_end_of_input {
             return Ok(());
         }
         let batch = host
             .handle_line(text.trim_end(), &mut reply)
             .map_err(|source| AdapterError::Message { line, source })?;
         if batch == BatchState::Complete {
-            output
-                .write_all(&reply)
-                .and_then(|()| output.flush())
+            write_reply(&mut output, &reply)
                 .map_err(|source| AdapterError::Write { line, source })?;
             reply.clear();
         }
     }
 }
+
+fn write_reply(output: &mut impl Write, reply: &[u8]) -> io::Result<()> {
+    output.write_all(reply)?;
+    output.flush()
+}
--- a/crates/simulator-adapter/src/message/kind.rs
+++ b/crates/simulator-adapter/src/message/kind.rs
@@ -42,7 +42,7 @@
     HealthCheckResult,
 }
 
-/// How the messages of one kind are written on the wire.
+/// How messages of one kind are written on the wire.
 #[derive(Debug, PartialEq)]
 pub struct WireFormat {
     /// The kind of the messages.
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -36,7 +36,8 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // the adapter may have exited on an early line
+    // The write fails if the adapter has rejected an early line and has exited.
+    let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let finished = child.wait_with_output().unwrap();
     Run {
@@ -84,6 +85,24 @@
     assert_eq!(replies, 3);
 }
 
+#[test]
+fn the_log_line_of_an_ejection_follows_the_failed_attempt_and_names_the_address() {
+    let arrival = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
+    let connect_failed =
+        r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",4,900,false,null]"#;
+    let create = create(SETTINGS);
+    let input = format!(
+        "[\"TICK\",1000]\n{create}{ENDPOINT_LIST}[\"END\"]\n\
+         [\"TICK\",6000]\n{arrival}\n[\"END\"]\n\
+         [\"TICK\",11000]\n{connect_failed}\n[\"END\"]\n"
+    );
+    let run = run(&input);
+    assert!(run.success, "{}", run.errors);
+    let log_line = r#"["WRITE_LOG","proxy-3","backend 10.0.0.1:80 ejected: ConnectFailed"]"#;
+    let last_reply = run.output.rsplit("[\"YIELD\"]\n").nth(1).unwrap();
+    assert!(last_reply.starts_with(log_line), "{}", run.output);
+}
+
 #[test]
 fn a_request_without_a_ready_backend_is_rejected_before_its_deadline() {
     let arrival = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
@@ -125,7 +144,7 @@
     );
 }
 
-/// The error names the line's number and what was expected.
+/// The error names the number of the line and what was expected.
 #[test]
 fn malformed_lines_are_reported_and_end_the_process() {
     let create = create(SETTINGS);
@@ -157,7 +176,7 @@
     );
 }
 
-/// A line that the adapter rejects, and a part of the error.
+/// A line that the adapter rejects, and a part of the error that it reports.
 struct MalformedLine {
     line: String,
     expected_error: &'static str,
