--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -76,12 +76,9 @@
 
 fn decode_arrival(event: &EncodedEvent, names: &Names) -> Result<Arrival, MessageError> {
     let [_instance, request, work_hint, time_left, _key, tenant, flags, class] = event.fields()?;
-    let flags = flags.value().as_u64().unwrap_or(0);
-    let has_work_hint = flags & FLAG_WORK_HINT != 0;
-    let work_hint = match work_hint.value().as_u64() {
-        Some(micros) if has_work_hint => Some(Micros(micros)),
-        _ => None,
-    };
+    let flags = decode_flags(flags);
+    let work_hint = decode_work_hint(work_hint, flags);
+    let is_retry = flags & FLAG_RETRY != 0;
     let request = decode_request(request)?;
     let time_left = time_left.unsigned("the time left in microseconds")?;
     let tenant = decode_tenant(tenant, names)?;
@@ -92,10 +89,24 @@
         tenant,
         time_left: Micros(time_left),
         work_hint,
-        is_retry: flags & FLAG_RETRY != 0,
+        is_retry,
     })
 }
 
+/// Decodes the flags of a request. Any value but a whole number of 0 or more stands for no flags.
+fn decode_flags(field: Field) -> u64 {
+    field.value().as_u64().unwrap_or(0)
+}
+
+/// Decodes the work hint of a request, in microseconds. It counts only if its flag is set, and any
+/// value but a whole number of 0 or more stands for a request without a work hint.
+fn decode_work_hint(field: Field, flags: u64) -> Option<Micros> {
+    if flags & FLAG_WORK_HINT == 0 {
+        return None;
+    }
+    field.value().as_u64().map(Micros)
+}
+
 /// Decodes the tenant of a request. Any value but text stands for a request without a tenant.
 fn decode_tenant(field: Field, names: &Names) -> Result<Option<TenantId>, MessageError> {
     let Value::String(name) = field.value() else {
--- a/crates/simulator-adapter/src/event/tests.rs
+++ b/crates/simulator-adapter/src/event/tests.rs
@@ -60,6 +60,12 @@
     arrival.is_retry = false;
     arrival.tenant = None;
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, {}, 5, 0, "pay"]);
+    assert_decoded(line, Event::Request(arrival.clone()));
+
+    // Flags and work hints of a wrong type stand for none.
+    let line = json!(["JOB_IN", "proxy-3", id, 70, 900, {}, 5, "3", "pay"]);
+    assert_decoded(line, Event::Request(arrival.clone()));
+    let line = json!(["JOB_IN", "proxy-3", id, "70", 900, {}, 5, 1, "pay"]);
     assert_decoded(line, Event::Request(arrival));
 }
 
