--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -4,16 +4,8 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const SETTINGS: &str = r#"{"blend":{"whole":0.6,"worst_class":0.2,"worst_tenant":0.1,"worst_window":0.1},
-"costs":{"cross_zone":0.02,"waste":0.1},"customers":[{"name":"north","quota_rps":50.0,"share":1.0}],"discovery":"automatic","position":0,"group_size":1,
-"granularity_us":5000,"kinds":["big","small"],"my_zone":"east","zones":["east","west"],"novelty":[1,{"a":2}],
-"limits":{"cancel":true,"max_attempts":3,"parallel_tries":true,"probes":true},"over_share_worth":0.1,
-"profiles":[{"name":"read","aim_us":300000,"deadline_us":900000,"effect":"free","gain":1.0,"late_worth":0.0},
-{"name":"pay","aim_us":300000,"deadline_us":900000,"effect":"single_shot","gain":4.0,"late_worth":0.2},
-{"name":"vote","aim_us":300000,"deadline_us":900000,"effect":"guarded","key_scope":"zone","window_us":500000,
-"gain":4.0,"late_worth":0.2}],
-"rules":{"answer_slack_us":16000,"cold_from":0.3,"fall_multiple":2.5,"must_ask_in_us":9000000,
-"ramp_time_us":9000000,"stop_sending_within_us":500000,"tip_after_us":2000000}}"#;
+/// Settings of an instance. `create` removes the line breaks, because a message is one line.
+const SETTINGS: &str = include_str!("settings.json");
 
 /// Creates the instance `proxy-3`.
 fn create(settings: &str) -> String {
@@ -44,7 +36,8 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // the adapter may have exited on an early line
+    // The write fails if the adapter has rejected an early line and has exited.
+    let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let finished = child.wait_with_output().unwrap();
     Run {
@@ -70,7 +63,10 @@
 #[test]
 fn a_request_is_dispatched_once_and_completed_by_its_response() {
     let arrival = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
-    let response = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
+    let load_report = r#"{"active":3,"new":1}"#;
+    let response = format!(
+        r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{load_report}]"#
+    );
     let create = create(SETTINGS);
     let input = format!(
         "[\"TICK\",1000]\n{create}{ENDPOINT_LIST}[\"END\"]\n\
@@ -89,6 +85,24 @@
     assert_eq!(replies, 3);
 }
 
+#[test]
+fn the_log_line_of_an_ejection_follows_the_failed_attempt_and_names_the_address() {
+    let arrival = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
+    let connect_failed =
+        r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",4,900,false,null]"#;
+    let create = create(SETTINGS);
+    let input = format!(
+        "[\"TICK\",1000]\n{create}{ENDPOINT_LIST}[\"END\"]\n\
+         [\"TICK\",6000]\n{arrival}\n[\"END\"]\n\
+         [\"TICK\",11000]\n{connect_failed}\n[\"END\"]\n"
+    );
+    let run = run(&input);
+    assert!(run.success, "{}", run.errors);
+    let log_line = r#"["WRITE_LOG","proxy-3","backend 10.0.0.1:80 ejected: ConnectFailed"]"#;
+    let last_reply = run.output.rsplit("[\"YIELD\"]\n").nth(1).unwrap();
+    assert!(last_reply.starts_with(log_line), "{}", run.output);
+}
+
 #[test]
 fn a_request_without_a_ready_backend_is_rejected_before_its_deadline() {
     let arrival = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
@@ -130,7 +144,7 @@
     );
 }
 
-/// The error names the line's number and what was expected.
+/// The error names the number of the line and what was expected.
 #[test]
 fn malformed_lines_are_reported_and_end_the_process() {
     let create = create(SETTINGS);
@@ -162,7 +176,7 @@
     );
 }
 
-/// A line that the adapter rejects, and a part of the error.
+/// A line that the adapter rejects, and a part of the error that it reports.
 struct MalformedLine {
     line: String,
     expected_error: &'static str,
@@ -255,3 +269,35 @@
         assert!(run.output.contains(key), "{invalid}: {}", run.output);
     }
 }
+
+/// The name and the number of values are checked all the same, and so is whether the clock is set.
+#[test]
+fn an_event_for_an_instance_with_invalid_settings_is_skipped_whatever_its_values_are() {
+    let create = "[\"CREATE\",\"proxy-3\",99,{}]\n";
+    let event = r#"["JOB_IN","proxy-3",null,null,null,null,null,null,null]"#;
+    let skipped = run(&format!("[\"TICK\",1]\n{create}{event}\n[\"END\"]\n"));
+    assert!(skipped.success, "{}", skipped.errors);
+    let replies: Vec<&str> = skipped.output.lines().collect();
+    assert_eq!(replies.len(), 2, "{}", skipped.output);
+    assert!(replies[0].starts_with("[\"BROKEN\",\"proxy-3\","));
+    assert_eq!(replies[1], "[\"YIELD\"]");
+
+    let short_event = r#"["JOB_IN","proxy-3"]"#;
+    let rejected = run(&format!("[\"TICK\",1]\n{create}{short_event}\n"));
+    assert!(!rejected.success);
+    let expected_error = "line 3: JOB_IN: expected 8 values, got 1";
+    assert!(
+        rejected.errors.contains(expected_error),
+        "{}",
+        rejected.errors
+    );
+
+    let without_clock = run(&format!("{event}\n"));
+    assert!(!without_clock.success);
+    let expected_error = "line 1: JOB_IN: expected TICK first";
+    assert!(
+        without_clock.errors.contains(expected_error),
+        "{}",
+        without_clock.errors
+    );
+}
