--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -158,3 +158,6 @@
         self.admitted_rate.per_s()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/admission/control/tests.rs
@@ -0,0 +1,59 @@
+use super::*;
+use crate::test_fixtures::*;
+
+/// So many that each learns from its own responses.
+const MANY: Peers = Peers { per_backend: 100.0 };
+/// So few that their concurrency limits suffice.
+const FEW: Peers = Peers { per_backend: 2.0 };
+
+fn control() -> AdmissionControl {
+    AdmissionControl::new(&Config::example())
+}
+
+/// How many of 1,000 arriving requests are admitted.
+fn admitted_of_1000(control: &mut AdmissionControl) -> usize {
+    let config = Config::example();
+    let latencies = LatencyEstimates::new(&config);
+    let mut rng = Rng::new(1);
+    let mut admit = |_: &usize| {
+        let weight = control.record_arrival(START, &config, &arrival(1));
+        control.admit(START, ClassId(0), weight, &config, &latencies, &mut rng)
+    };
+    (0..1_000).filter(&mut admit).count()
+}
+
+#[test]
+fn everything_is_admitted_until_responses_come_late() {
+    assert_eq!(admitted_of_1000(&mut control()), 1_000);
+}
+
+#[test]
+fn late_responses_shed_load_down_to_a_bound() {
+    let mut control = control();
+    for _ in 0..100 {
+        control.adjust(false, MANY);
+    }
+    let admitted = admitted_of_1000(&mut control);
+    assert!(
+        (20..90).contains(&admitted),
+        "{admitted}, expected about 50"
+    );
+}
+
+#[test]
+fn one_late_response_in_four_sheds_nothing() {
+    let mut control = control();
+    for number in 0..100 {
+        control.adjust(number % 4 != 0, MANY);
+    }
+    assert_eq!(admitted_of_1000(&mut control), 1_000);
+}
+
+#[test]
+fn few_proxies_shed_nothing() {
+    let mut control = control();
+    for _ in 0..100 {
+        control.adjust(false, FEW);
+    }
+    assert_eq!(admitted_of_1000(&mut control), 1_000);
+}
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -152,3 +152,6 @@
         fractions.fold(f64::MAX, f64::min)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/admission/tenant_quotas.rs
+++ b/crates/balancer/src/admission/tenant_quotas.rs
@@ -34,3 +34,6 @@
         !is_within_quota
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -175,3 +175,6 @@
         self.local_share = allocation.local_share;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/backends/health.rs
+++ b/crates/balancer/src/backends/health.rs
@@ -106,3 +106,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/backends/machine_type.rs
+++ b/crates/balancer/src/backends/machine_type.rs
@@ -119,3 +119,6 @@
         Some(share.backend)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/backends/outlier_detection.rs
+++ b/crates/balancer/src/backends/outlier_detection.rs
@@ -192,3 +192,6 @@
         ERROR_RATE_LIMIT
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/backends/speed.rs
+++ b/crates/balancer/src/backends/speed.rs
@@ -104,3 +104,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -35,6 +35,8 @@
 mod routing;
 pub mod settings;
 mod subset;
+#[cfg(test)]
+mod test_fixtures;
 mod wakeups;
 
 pub use balancer::Balancer;
--- a/crates/balancer/src/outbox.rs
+++ b/crates/balancer/src/outbox.rs
@@ -32,3 +32,6 @@
         actions.append(&mut self.actions);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/requests/queue.rs
+++ b/crates/balancer/src/requests/queue.rs
@@ -97,3 +97,6 @@
         self.blocked_below_weight = 0.0;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/requests/queue/tests.rs
@@ -0,0 +1,58 @@
+use super::*;
+use crate::requests::Attempt;
+use crate::test_fixtures::*;
+
+const LOW_PRIORITY: (bool, bool) = (true, false);
+
+fn queued(id: u64, arrived_at: Time, density: f64) -> QueuedRequest {
+    QueuedRequest::new(RequestId(id), &request(arrived_at), density)
+}
+
+fn low_priority_request() -> Request {
+    let (is_retry, is_over_quota) = LOW_PRIORITY;
+    let mut request = request(START);
+    request.weight = weight(is_retry, is_over_quota);
+    assert!(request.weight.is_low_priority());
+    request
+}
+
+#[test]
+fn the_densest_is_sent_first_and_the_newest_among_equals() {
+    let older = START;
+    let newer = START + SECOND;
+    let mut waiting = [
+        queued(1, older, 1.0),
+        queued(2, newer, 1.0),
+        queued(3, older, 2.0),
+        queued(4, newer, 1.0),
+    ];
+    waiting.sort_by(QueuedRequest::sending_order);
+    let sent = waiting.map(|queued| queued.id.0);
+    assert_eq!(sent, [3, 2, 4, 1]);
+}
+
+#[test]
+fn a_blocked_low_priority_request_leaves_the_queue_open_to_others() {
+    let mut queue = RequestQueue::default();
+    queue.push(RequestId(1));
+    let low_priority = low_priority_request();
+    queue.block_like(&low_priority);
+    assert!(!queue.is_idle());
+    assert!(queue.is_blocked(&QueuedRequest::new(RequestId(1), &low_priority, 1.0)));
+    assert!(!queue.is_blocked(&queued(2, START, 1.0)));
+}
+
+#[test]
+fn a_blocked_request_of_full_weight_blocks_all_first_attempts_until_capacity_is_free() {
+    let mut queue = RequestQueue::default();
+    queue.push(RequestId(1));
+    queue.block_like(&request(START));
+    assert!(queue.is_idle());
+    assert!(queue.is_blocked(&queued(1, START, 1.0)));
+    let mut retried = low_priority_request();
+    retried.attempts.push(Attempt::new(endpoint(1), START));
+    assert!(!queue.is_blocked(&QueuedRequest::new(RequestId(2), &retried, 1.0)));
+    queue.unblock();
+    assert!(!queue.is_idle());
+    assert!(!queue.is_blocked(&queued(1, START, 1.0)));
+}
--- a/crates/balancer/src/requests/table.rs
+++ b/crates/balancer/src/requests/table.rs
@@ -121,3 +121,6 @@
         Some(request)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -35,3 +35,6 @@
         self.tokens -= RETRY_COST;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/retry/deadlines.rs
+++ b/crates/balancer/src/retry/deadlines.rs
@@ -39,3 +39,6 @@
     let last_tick = Time(request.deadline.0.saturating_sub(config.tick.0));
     next_look.min(last_tick)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/retry/policy.rs
+++ b/crates/balancer/src/retry/policy.rs
@@ -90,3 +90,6 @@
         self.config.cancellation_allowed && self.idempotency != Idempotency::NonIdempotent
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -87,3 +87,6 @@
     }
     f64::from(count)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/routing/concurrency_limits/tests.rs
@@ -0,0 +1,37 @@
+use super::*;
+use crate::test_fixtures::{SECOND, START};
+
+/// Limits for a proxy with a part of 16 attempts: 100 ready backends with 25 proxies on each.
+fn limits() -> ConcurrencyLimits {
+    let mut limits = ConcurrencyLimits::new();
+    limits.update(100.0, Peers { per_backend: 25.0 });
+    limits
+}
+
+#[test]
+fn the_momentary_limit_allows_for_chance() {
+    // 16 + 1.5 x 4 + 1 = 23, of which low priority may take half.
+    let limits = limits();
+    assert!(limits.allow(22.0, false));
+    assert!(!limits.allow(23.0, false));
+    assert!(limits.allow(11.0, true));
+    assert!(!limits.allow(12.0, true));
+}
+
+#[test]
+fn the_sustained_limit_holds_once_the_mean_has_risen() {
+    let mut limits = ConcurrencyLimits::new();
+    // A part of 4 attempts: at most 4 + 1.5 x 2 + 1 = 8 for a moment, 6 for longer.
+    limits.update(4.0, Peers { per_backend: 4.1 });
+    let part = 4.0 / 4.1 * 4.0;
+    assert!(limits.allow(part * SUSTAINED_FACTOR, false));
+    limits.record_in_flight(START, 7.0);
+    limits.record_in_flight(START + SECOND.times(10.0), 7.0);
+    assert!(!limits.allow(part * SUSTAINED_FACTOR, false));
+    assert!(limits.allow(5.0, false));
+}
+
+#[test]
+fn nothing_is_allowed_before_the_first_update() {
+    assert!(!ConcurrencyLimits::new().allow(0.0, false));
+}
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -145,3 +145,6 @@
 pub(super) fn half_by_zone(zone_factor: f64) -> f64 {
     0.5 + 0.5 * zone_factor
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/wakeups.rs
+++ b/crates/balancer/src/wakeups.rs
@@ -66,3 +66,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/tests/decision_files.rs
+++ b/crates/balancer/tests/decision_files.rs
@@ -11,8 +11,8 @@
 const MAX_WIDTH: usize = 100;
 /// The sources of the balancer, from the workspace's root.
 const SOURCES: &str = "crates/balancer/src";
-/// Files of the balancer that decide nothing: tools for its hosts, and the list of its modules.
-const FILES_WITHOUT_DECISIONS: [&str; 3] = ["host.rs", "lib.rs", "random.rs"];
+/// Files of the balancer that decide nothing: tools for its hosts and tests, the list of its modules.
+const FILES_WITHOUT_DECISIONS: [&str; 4] = ["host.rs", "lib.rs", "random.rs", "test_fixtures.rs"];
 /// Modules that decide nothing: the types that go in and out, and the reader of the settings.
 const MODULES_WITHOUT_DECISIONS: [&str; 2] = ["interface", "settings"];
 /// The files that the state machine's first lines have to name: what goes in and what comes out.
