--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -6,4 +6,4 @@
 mod token_bucket;
 
 pub(crate) use control::{AdmissionControl, PROMPT_FRACTION};
-pub(crate) use priority::RequestWeight;
+pub(crate) use priority::{RequestWeight, LOW_PRIORITY_CAPACITY};
--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -3,7 +3,7 @@
 
 use super::priority::{RequestWeight, TrafficMix};
 use super::tenant_quotas::TenantQuotas;
-use crate::estimation::{update_fraction, LatencyEstimates, RateEstimator};
+use crate::estimation::{update_fraction, LatencyEstimates, RateEstimator, ASSUMED_RATE};
 use crate::peers::Peers;
 use crate::random::Rng;
 use crate::{Arrival, ClassId, Config, Time};
@@ -25,8 +25,14 @@
 /// Responses per second above which the step shrinks: the fraction must not change faster than the
 /// responses that show the effect of the change.
 const FULL_STEP_RATE: f64 = 10.0;
-/// Rate that is assumed before one was measured, in requests per second.
-const ASSUMED_RATE: f64 = 1.0;
+
+/// The load that competes with a request for admission, in fractions of all traffic.
+struct CompetingLoad {
+    /// Requests that are admitted before it.
+    more_important: f64,
+    /// Requests that are as important: its own class, or all of low priority.
+    own: f64,
+}
 
 /// Decides which arriving requests are admitted.
 ///
@@ -73,7 +79,8 @@
         weight
     }
 
-    /// Decides on an arriving request and counts it in the rate if it is admitted.
+    /// Decides on an arriving request and counts it in the rate if it is admitted. Requests of the
+    /// highest density are admitted first; in the class at the limit, chance decides.
     pub fn admit(
         &mut self,
         now: Time,
@@ -83,41 +90,42 @@
         latencies: &LatencyEstimates,
         rng: &mut Rng,
     ) -> bool {
-        let is_admitted = self.is_admitted(class, weight, config, latencies, rng);
+        let is_admitted = if self.admitted_fraction >= 1.0 {
+            true
+        } else {
+            let load = self.competing_load(class, weight, config, latencies);
+            rng.unit() * load.own < self.admitted_fraction - load.more_important
+        };
         // Shares are computed from the rate of admitted requests: the others reach no backend.
         self.admitted_rate.add(now, f64::from(is_admitted));
         is_admitted
     }
 
-    /// Whether a request is admitted. Those of the highest density are admitted first; in the class
-    /// at the limit, chance decides.
-    fn is_admitted(
+    /// The load that competes with a request for admission.
+    fn competing_load(
         &self,
         class: ClassId,
         weight: RequestWeight,
         config: &Config,
         latencies: &LatencyEstimates,
-        rng: &mut Rng,
-    ) -> bool {
-        if self.admitted_fraction >= 1.0 {
-            return true;
-        }
+    ) -> CompetingLoad {
         let high_priority_fraction = 1.0 - self.low_priority_fraction;
-        let (load_before, own_load) = if weight.is_low_priority() {
-            (high_priority_fraction, self.low_priority_fraction)
-        } else {
-            let densities = self.mix.densities(config, latencies);
-            let loads = self.mix.loads(latencies);
-            let total_load: f64 = loads.iter().sum();
-            let own_density = densities[class.0];
-            let denser = (0..loads.len()).filter(|index| densities[*index] > own_density);
-            let denser_load: f64 = denser.map(|index| loads[index]).sum();
-            (
-                denser_load / total_load * high_priority_fraction,
-                loads[class.0] / total_load * high_priority_fraction,
-            )
-        };
-        rng.unit() * own_load < self.admitted_fraction - load_before
+        if weight.is_low_priority() {
+            return CompetingLoad {
+                more_important: high_priority_fraction,
+                own: self.low_priority_fraction,
+            };
+        }
+        let densities = self.mix.densities(config, latencies);
+        let loads = self.mix.loads(latencies);
+        let total_load: f64 = loads.iter().sum();
+        let own_density = densities[class.0];
+        let denser = (0..loads.len()).filter(|index| densities[*index] > own_density);
+        let denser_load: f64 = denser.map(|index| loads[index]).sum();
+        CompetingLoad {
+            more_important: denser_load / total_load * high_priority_fraction,
+            own: loads[class.0] / total_load * high_priority_fraction,
+        }
     }
 
     /// Learns from a response, or from the lack of one, whether the fleet is overloaded.
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -6,9 +6,10 @@
 
 /// Least weight of a client's retry beside a first request: some still come in time.
 const MIN_RETRY_WEIGHT: f64 = 0.1;
-/// Requests of a lower weight have low priority: they may take half of the capacity, the rest is
-/// reserved for the others.
+/// Requests of a lower weight have low priority.
 const LOW_PRIORITY_WEIGHT: f64 = 0.5;
+/// Low-priority requests may take this fraction of any capacity; the rest is reserved for others.
+pub(crate) const LOW_PRIORITY_CAPACITY: f64 = 0.5;
 /// Least fraction of the arrivals that a class counts with.
 const MIN_ARRIVAL_SHARE: f64 = 1e-3;
 /// Classes that are served so little better than the worst count as the worst as well.
--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -1,11 +1,9 @@
 //! What the balancer knows of one backend.
 
 use super::health::BackendHealth;
+use crate::admission::LOW_PRIORITY_CAPACITY;
 use crate::{BackendState, Endpoint, MachineTypeId, Micros, Time};
 
-/// Low-priority requests may take this fraction of a concurrency limit; the rest is reserved.
-const LOW_PRIORITY_CAPACITY: f64 = 0.5;
-
 /// Work that was sent to a backend at one time.
 #[derive(Clone, Copy)]
 struct SentWork {
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -72,11 +72,9 @@
         if !has_budget || !retry_policy.allows_attempt(now, request) {
             return Offer::NotAllowed;
         }
+        let in_flight = self.count_in_flight();
         let is_low_priority = request.weight.is_low_priority();
-        if !self
-            .concurrency
-            .allow(self.count_in_flight(), is_low_priority)
-        {
+        if !self.concurrency.allow(in_flight, is_low_priority) {
             return Offer::NoCapacity;
         }
         let picker = Picker::new(
--- a/crates/balancer/src/estimation.rs
+++ b/crates/balancer/src/estimation.rs
@@ -8,3 +8,6 @@
     SAMPLE_MEMORY,
 };
 pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY};
+
+/// Rate of this proxy's requests that is assumed before one was measured, in requests per second.
+pub(crate) const ASSUMED_RATE: f64 = 1.0;
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -1,5 +1,6 @@
 //! The limits on what this proxy has in flight on all backends together.
 
+use crate::admission::LOW_PRIORITY_CAPACITY;
 use crate::backends::{Backend, BackendTable};
 use crate::estimation::TimeWeightedMean;
 use crate::peers::Peers;
@@ -13,8 +14,6 @@
 /// target. Chance gives one proxy more at times; if all had more at once, every backend would be
 /// overloaded for long.
 const SUSTAINED_FACTOR: f64 = 1.5;
-/// Low-priority requests may take this fraction of the limit; the rest is reserved.
-const LOW_PRIORITY_CAPACITY: f64 = 0.5;
 
 /// How many attempts this proxy may have in flight.
 ///
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -2,7 +2,7 @@
 //! which do not communicate, must keep to its limit together.
 
 use crate::backends::{warmup_fraction, Backend, MachineType};
-use crate::estimation::EPSILON;
+use crate::estimation::{ASSUMED_RATE, EPSILON};
 use crate::peers::Peers;
 use crate::{BackendId, Config, Micros, Time};
 
@@ -15,8 +15,6 @@
 /// Speed of a backend of an unknown machine type, as a fraction of an even share of the traffic:
 /// the rate may be that of a burst.
 const UNKNOWN_SPEED: f64 = 0.5;
-/// Rate that is assumed before one was measured, in requests per second.
-const ASSUMED_RATE: f64 = 1.0;
 /// The golden ratio as a fraction of 2^64.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The square root of two as a fraction of 2^64.
