--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -107,8 +107,8 @@
             return true;
         }
         let used = self.work_since(now, window);
-        let is_unused = used == 0.0 && self.slow_start_quota >= 1.0;
-        is_unused || self.slow_start_quota - used >= work
+        let may_exceed_once = used == 0.0 && self.slow_start_quota >= 1.0;
+        may_exceed_once || self.slow_start_quota - used >= work
     }
 
     /// Work that was sent within the window, in multiples of a mean request.
--- a/crates/balancer/src/backends/warmup.rs
+++ b/crates/balancer/src/backends/warmup.rs
@@ -1,4 +1,5 @@
-//! Slow start: the capacity of a backend while it warms up after its start.
+//! Warm-up: the capacity of a backend in slow start, by the time since its start. What proxies may
+//! send it in that time is computed in `routing/slow_start_quotas.rs`.
 
 use crate::{Config, Endpoint, Time};
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -218,8 +218,8 @@
         };
         let objective = self.config.classes[attempt.class.0].latency_objective;
         if end.outcome == Outcome::Cancelled && end.latency > objective {
-            // It was cancelled when its client left after all that time: that counts as much
-            // against the backend as a time-out.
+            // The attempt was cancelled, mostly because its client left, after all that time: this
+            // counts against the backend as much as a time-out.
             end.outcome = Outcome::TimedOut;
         }
         self.adjust_admission(&attempt, &end);
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -22,7 +22,8 @@
         let ready_count = self.backends.update_readiness(now, &self.config);
         self.idle_connections.grow(now, ready_count);
         let own_rate = self.admission.update_rate(now);
-        // Few proxies visit each backend many times a second, except before their traffic comes.
+        // Where few proxies share a backend, each visits it many times a second, so that the time
+        // between two visits does not matter.
         let visit_rate = own_rate.filter(|_| !peers.are_few());
         self.outliers.update_visit_interval(ready_count, visit_rate);
         let fleet_rate = own_rate.map(|rate| rate * peers.per_backend);
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -1,7 +1,7 @@
 //! The regular computation of the shares: each backend's part of this proxy's traffic and its
 //! limits.
 
-use super::slow_start::{half_by_zone, SlowStartPlan};
+use super::slow_start_quotas::{half_by_zone, SlowStartPlan};
 use super::zone_affinity::ZoneFactors;
 use crate::backends::{Allocation, Backend, MachineType};
 use crate::random::Rng;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -54,15 +54,15 @@
     pub balancer_config: Config,
     /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// The largest number of pending requests. Those in excess are rejected without the balancer.
-    pub max_pending_requests: usize,
+    /// The largest number of open requests. Those in excess are rejected without the balancer.
+    pub max_open_requests: usize,
     /// The connections to backends.
     pub pool: Rc<ConnectionPool>,
     /// Where attempts report their end: the sending side of the channel that is given to
     /// [`Driver::run`].
     pub events: mpsc::UnboundedSender<DriverEvent>,
     /// Notified when the balancer wants the endpoint list to be watched or polled.
-    pub watch_requested: Rc<Notify>,
+    pub poll_requested: Rc<Notify>,
     /// What the driver reports to the rest of the program.
     pub status: Rc<Status>,
 }
@@ -70,7 +70,7 @@
 /// Drives the balancer; see the [module](self).
 pub struct Driver {
     clock: Clock,
-    max_pending_requests: usize,
+    max_open_requests: usize,
     balancer: BalancerHost,
     pending: PendingRequests,
     upstreams: Upstreams,
@@ -78,7 +78,7 @@
     /// Where attempts report their end.
     event_sender: mpsc::UnboundedSender<DriverEvent>,
     /// Notified when the balancer wants the endpoint list to be watched or polled.
-    watch_requested: Rc<Notify>,
+    poll_requested: Rc<Notify>,
     status: Rc<Status>,
 }
 
@@ -89,13 +89,13 @@
         let grace_period = Micros(RESPONSE_GRACE_TICKS * tick.0);
         Ok(Driver {
             clock: parts.clock,
-            max_pending_requests: parts.max_pending_requests,
+            max_open_requests: parts.max_open_requests,
             balancer: BalancerHost::new(parts.balancer_config, parts.seed)?,
             pending: PendingRequests::new(grace_period),
             upstreams: Upstreams::default(),
             pool: parts.pool,
             event_sender: parts.events,
-            watch_requested: parts.watch_requested,
+            poll_requested: parts.poll_requested,
             status: parts.status,
         })
     }
@@ -173,7 +173,7 @@
     }
 
     fn accept_request(&mut self, incoming: IncomingRequest) {
-        if self.pending.len() >= self.max_pending_requests {
+        if self.pending.len() >= self.max_open_requests {
             // The request reaches neither the balancer nor a backend.
             let retry_after = self.balancer.retry_after();
             let _ = incoming.reply.send(FinalResponse::Rejected(retry_after));
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -26,7 +26,7 @@
             }
             Action::SetTimer { token, after } => self.balancer.set_timer(now + after, token),
             Action::LimitIdleConnections { max_idle } => self.pool.set_max_idle(max_idle as usize),
-            Action::WatchEndpoints => self.watch_requested.notify_one(),
+            Action::WatchEndpoints => self.poll_requested.notify_one(),
             Action::Log(event) => balancer_log::write(event, &self.upstreams),
         }
     }
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -33,10 +33,10 @@
             clock,
             balancer_config,
             seed: 1,
-            max_pending_requests: 8,
+            max_open_requests: 8,
             pool: Rc::new(ConnectionPool::new(clock, second, second, 8)),
             events: sender,
-            watch_requested: Rc::default(),
+            poll_requested: Rc::default(),
             status: Rc::default(),
         })
         .expect("a valid configuration");
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -209,10 +209,10 @@
         clock: shared.clock,
         balancer_config: config.balancer,
         seed: config.seed,
-        max_pending_requests: config.max_open_requests,
+        max_open_requests: config.max_open_requests,
         pool,
         events: shared.events.clone(),
-        watch_requested: shared.poll_requested.clone(),
+        poll_requested: shared.poll_requested.clone(),
         status: shared.status.clone(),
     });
     driver.map_err(StartupError::Settings)
