--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -5,5 +5,5 @@
 mod tenant_quotas;
 mod token_bucket;
 
-pub(crate) use control::{AdmissionControl, PROMPT_FRACTION};
-pub(crate) use priority::{RequestWeight, LOW_PRIORITY_CAPACITY};
+pub(crate) use control::{prompt_latency, AdmissionControl};
+pub(crate) use priority::{RequestWeight, LOW_PRIORITY_CAPACITY_FRACTION};
--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -6,11 +6,11 @@
 use crate::estimation::{update_fraction, LatencyEstimates, RateEstimator, ASSUMED_RATE};
 use crate::peers::Peers;
 use crate::random::Rng;
-use crate::{Arrival, ClassId, Config, Time};
+use crate::{Arrival, ClassId, Config, Micros, Time};
 
 /// A prompt response comes within this fraction of the time from an unloaded response to the
 /// latency objective. At twice that the slowest responses miss the objective.
-pub(crate) const PROMPT_FRACTION: f64 = 0.25;
+const PROMPT_FRACTION: f64 = 0.25;
 /// Least fraction of the traffic that is admitted, so that a recovery is noticed.
 const MIN_ADMITTED_FRACTION: f64 = 0.05;
 /// The admitted fraction may rise above one. Chance makes some responses late at any load, and each
@@ -22,8 +22,9 @@
 /// A response that is not prompt lowers the fraction by so many steps: it is stable while a third
 /// of the responses are late.
 const STEPS_DOWN: f64 = 2.0;
-/// Responses per second above which the step shrinks: the fraction must not change faster than the
-/// responses that show the effect of the change.
+/// Highest rate of admitted requests, per second, at which the full step is taken. At a higher rate
+/// the step is smaller, because the fraction must not change faster than the responses that show
+/// the effect of the change.
 const FULL_STEP_RATE: f64 = 10.0;
 
 /// The load that competes with a request for admission, in fractions of all traffic.
@@ -36,9 +37,9 @@
 
 /// Decides which arriving requests are admitted.
 ///
-/// It owns the admitted fraction of the traffic, the mix of the arrivals, the rate of admitted
-/// requests and the use of the tenants' quotas. Work estimates, the configuration and random
-/// numbers are passed in.
+/// It owns the admitted fraction of the traffic, the mix of the arrivals by class and by priority,
+/// the rate of admitted requests and the use of the tenants' quotas. Work estimates, the number of
+/// peers, the configuration and random numbers are passed in.
 pub(crate) struct AdmissionControl {
     /// Fraction of the traffic that is admitted; see [`MAX_ADMITTED_FRACTION`].
     admitted_fraction: f64,
@@ -80,7 +81,8 @@
     }
 
     /// Decides on an arriving request and counts it in the rate if it is admitted. Requests of the
-    /// highest density are admitted first; in the class at the limit, chance decides.
+    /// highest density are admitted first, low priority last; in the class at the limit, chance
+    /// decides.
     pub fn admit(
         &mut self,
         now: Time,
@@ -96,7 +98,8 @@
             let load = self.competing_load(class, weight, config, latencies);
             rng.unit() * load.own < self.admitted_fraction - load.more_important
         };
-        // Shares are computed from the rate of admitted requests: the others reach no backend.
+        // Shares are computed from the rate of admitted requests: the others reach no backend. The
+        // rate also counts requests that are admitted but cannot be placed.
         self.admitted_rate.add(now, f64::from(is_admitted));
         is_admitted
     }
@@ -167,5 +170,15 @@
     }
 }
 
+/// The time from the dispatch of an attempt within which a response counts as prompt. `baseline` is
+/// the unloaded latency of a mean request on its backend, s, if that is known.
+pub(crate) fn prompt_latency(
+    latencies: &LatencyEstimates,
+    baseline: Option<f64>,
+    class: ClassId,
+) -> Micros {
+    latencies.latency_within_objective(baseline, class, PROMPT_FRACTION)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -9,7 +9,7 @@
 /// Requests of a lower weight have low priority.
 const LOW_PRIORITY_WEIGHT: f64 = 0.5;
 /// Low-priority requests may take this fraction of any capacity; the rest is reserved for others.
-pub(crate) const LOW_PRIORITY_CAPACITY: f64 = 0.5;
+pub(crate) const LOW_PRIORITY_CAPACITY_FRACTION: f64 = 0.5;
 /// Least fraction of the arrivals that a class counts with.
 const MIN_ARRIVAL_SHARE: f64 = 1e-3;
 /// Classes that are served so little better than the worst count as the worst as well.
@@ -53,7 +53,7 @@
         self.0 < LOW_PRIORITY_WEIGHT
     }
 
-    /// For low priority, the weight below which requests have it.
+    /// The upper bound of the weights of low priority if this is one, else `None`.
     pub fn low_priority_limit(self) -> Option<f64> {
         self.is_low_priority().then_some(LOW_PRIORITY_WEIGHT)
     }
@@ -64,7 +64,7 @@
 struct ClassTraffic {
     /// The class's fraction of the arrivals.
     arrival_share: f64,
-    /// Responses of this class within the objective, as a fraction of all requests that ended.
+    /// Responses of this class within the objective, as a fraction of all final responses.
     on_time_share: f64,
 }
 
--- a/crates/balancer/src/admission/tenant_quotas.rs
+++ b/crates/balancer/src/admission/tenant_quotas.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Counts a request against its tenant's quota; returns whether that was used up before.
+    /// Counts a request against its tenant's quota; returns whether the request is beyond it.
     pub fn count_request(&mut self, now: Time, config: &Config, tenant: Option<TenantId>) -> bool {
         let Some(TenantId(index)) = tenant else {
             return false;
@@ -30,8 +30,7 @@
             return false;
         };
         let own_quota = tenant.quota_per_s / f64::from(config.proxy_count);
-        let is_within_quota = self.buckets[index].take(now, own_quota);
-        !is_within_quota
+        !self.buckets[index].take(now, own_quota)
     }
 }
 
--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -1,7 +1,7 @@
 //! What the balancer knows of one backend.
 
 use super::health::BackendHealth;
-use crate::admission::LOW_PRIORITY_CAPACITY;
+use crate::admission::LOW_PRIORITY_CAPACITY_FRACTION;
 use crate::{BackendState, Endpoint, MachineTypeId, Micros, Time};
 
 /// Work that was sent to a backend at one time.
@@ -27,8 +27,9 @@
 
 /// One backend: its entry in the endpoint list, its health, and what this proxy may send it.
 ///
-/// It owns the count of its attempts in flight and the work that was sent to it lately. What it may
-/// be sent is computed elsewhere and set as an [`Allocation`].
+/// It owns the list entry, the health, the count of attempts in flight and the work that was sent
+/// to it lately. [`BackendTable::update_readiness`](super::BackendTable::update_readiness) sets its
+/// readiness, an ejection sets that to 0, and [`allocate`](Self::allocate) sets its limits.
 #[derive(Default)]
 pub(crate) struct Backend {
     endpoint: Endpoint,
@@ -93,7 +94,7 @@
     /// Whether it may have one more attempt in flight.
     pub fn has_free_concurrency(&self, is_low_priority: bool) -> bool {
         let limit = if is_low_priority {
-            (self.concurrency_limit * LOW_PRIORITY_CAPACITY).ceil()
+            (self.concurrency_limit * LOW_PRIORITY_CAPACITY_FRACTION).ceil()
         } else {
             self.concurrency_limit
         };
@@ -161,6 +162,11 @@
         self.endpoint.state = BackendState::Removed;
     }
 
+    /// Sends it nothing more until its readiness is computed again, after an ejection.
+    pub fn stop_using(&mut self) {
+        self.readiness = 0.0;
+    }
+
     /// Sets its readiness.
     pub fn set_readiness(&mut self, readiness: f64) {
         self.readiness = readiness;
--- a/crates/balancer/src/backends/health.rs
+++ b/crates/balancer/src/backends/health.rs
@@ -2,7 +2,8 @@
 
 use crate::{Micros, Time};
 
-/// Least error rate of a suspect backend: it is picked less until it responds in time.
+/// Error rate to which that of a slow backend is raised. It is picked less then, and its next error
+/// ejects it; successes lower the rate again.
 const SUSPECT_ERROR_RATE: f64 = 0.7;
 /// An ejection lasts twice as long as the one before it, so many times at most.
 const MAX_EJECTION_DOUBLINGS: i32 = 2;
@@ -13,9 +14,10 @@
 /// to.
 #[derive(Default)]
 pub(crate) struct BackendHealth {
-    /// Running fraction of responses that were errors.
+    /// Weighted fraction of recent outcomes that were errors, from 0 to 1; a slow backend has
+    /// [`SUSPECT_ERROR_RATE`] at least.
     error_rate: f64,
-    /// When it last responded in any way.
+    /// When it last responded in any way; `Time(0)` if it never did.
     last_response_at: Time,
     /// When the newest request that it served was sent: it was not draining then.
     last_accepted_at: Time,
@@ -28,12 +30,12 @@
 }
 
 impl BackendHealth {
-    /// Running fraction of responses that were errors.
+    /// Weighted fraction of recent outcomes that were errors, from 0 to 1.
     pub fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// When it last responded in any way.
+    /// When it last responded in any way; `Time(0)` if it never did.
     pub fn last_response_at(&self) -> Time {
         self.last_response_at
     }
@@ -55,7 +57,7 @@
 
     /// Whether attempts in flight on this backend will probably get no response, because it is
     /// ejected or unresponsive.
-    pub fn is_out_of_use(&self) -> bool {
+    pub fn is_probably_down(&self) -> bool {
         self.is_unresponsive() || self.is_ejected()
     }
 
@@ -73,7 +75,7 @@
         self.error_rate += (1.0 - self.error_rate) * weight;
     }
 
-    /// Records that it is slow, so that it is picked less.
+    /// Records that it is slow: it is picked less, and its next error ejects it.
     pub fn mark_suspect(&mut self) {
         self.error_rate = self.error_rate.max(SUSPECT_ERROR_RATE);
     }
@@ -98,7 +100,7 @@
     }
 
     /// Ends an ejection whose time is over. The count of consecutive ejections stays: the next
-    /// failure ejects it for longer.
+    /// ejection lasts longer.
     pub fn end_ejection_if_due(&mut self, now: Time) {
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
--- a/crates/balancer/src/backends/health/tests.rs
+++ b/crates/balancer/src/backends/health/tests.rs
@@ -25,9 +25,9 @@
     assert!(health.eject(START, 1.0));
     assert!(!health.eject(START + Micros(999_999), 1.0));
     health.end_ejection_if_due(START + Micros(999_999));
-    assert!(health.is_out_of_use());
+    assert!(health.is_probably_down());
     health.end_ejection_if_due(START + SECOND);
-    assert!(!health.is_out_of_use());
+    assert!(!health.is_probably_down());
 }
 
 #[test]
--- a/crates/balancer/src/backends/machine_type.rs
+++ b/crates/balancer/src/backends/machine_type.rs
@@ -14,7 +14,8 @@
 
 /// One machine type: its speed, and its part of the traffic.
 ///
-/// It owns the sums over its backends, which the regular computation of the shares renews.
+/// It owns the speed estimate, the highest weight seen, and the sums over its backends, which each
+/// computation of the shares renews.
 #[derive(Default)]
 pub(crate) struct MachineType {
     speed: SpeedEstimate,
@@ -26,7 +27,8 @@
     share: f64,
     /// Fraction of this proxy's traffic.
     local_share: f64,
-    /// Its usable backends.
+    /// Its backends with a readiness above 0 at the last computation. The picker checks whether
+    /// they are usable now.
     cumulative_shares: Vec<CumulativeShare>,
 }
 
@@ -100,7 +102,7 @@
         self.cumulative_shares.clear();
     }
 
-    /// Adds the local share of one of its usable backends.
+    /// Adds the local share of one of its backends.
     pub fn add_local_share(&mut self, backend: BackendId, share: f64) {
         self.local_share += share;
         self.cumulative_shares.push(CumulativeShare {
@@ -109,7 +111,7 @@
         });
     }
 
-    /// The usable backend at `position` of the cumulative shares, from 0 to 1. A position that is
+    /// The backend at `position` of the cumulative shares, from 0 to 1. A position that is
     /// drawn uniformly picks each backend by its local share.
     pub fn backend_at(&self, position: f64) -> Option<BackendId> {
         let target = position * self.local_share;
--- a/crates/balancer/src/backends/outlier_detection.rs
+++ b/crates/balancer/src/backends/outlier_detection.rs
@@ -7,7 +7,8 @@
 use crate::requests::InFlightAttempt;
 use crate::{AttemptEnd, BackendId, Micros, Outcome, Time};
 
-/// Error rate from which a backend is ejected: two errors close together reach it.
+/// A backend is ejected above this error rate. Where visits are frequent, two consecutive errors
+/// exceed it; where they are more than 2.4 s apart, one does.
 const ERROR_RATE_LIMIT: f64 = 0.3;
 /// The same where the newest attempt was rejected: a backend that takes some requests is used for
 /// those.
@@ -26,13 +27,13 @@
 /// unloaded response to the objective. It is slow then, or so overloaded that it stays slow until
 /// all proxies avoid it.
 const SLOW_FRACTION: f64 = 0.5;
-/// Length of the first ejection, s.
-const EJECTION_TIME: f64 = 1.0;
-/// Least length of an ejection in visits. A return costs a request, so it must come later than the
-/// next visit where visits are rare.
-const EJECTION_VISITS: f64 = 1.5;
-/// Shortest random factor on the length of an ejection: backends that were ejected together return
-/// one after the other.
+/// Duration of a first ejection before jitter, s, where visits are frequent.
+const BASE_EJECTION_SECONDS: f64 = 1.0;
+/// Lower bound of that duration, in visit intervals. A return costs a request, so where visits are
+/// rare it must come later than the next visit.
+const BASE_EJECTION_VISITS: f64 = 1.5;
+/// Smallest random factor on the duration of an ejection: backends that were ejected together
+/// return one after the other.
 const MIN_EJECTION_JITTER: f64 = 0.75;
 /// Width of the range of that factor.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
@@ -43,16 +44,18 @@
 /// backend is kept in that backend's [`BackendHealth`](super::health::BackendHealth).
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
-    /// Seconds between two requests of this proxy to the same backend, on average; 0 where few
-    /// proxies visit each backend many times a second.
+    /// Seconds between two requests of this proxy to the same backend, on average. It is 0 while
+    /// the rate is not known, and where few proxies share each backend and visit it often: then
+    /// slow backends are not marked, and each outcome has the least weight.
     visit_interval: f64,
-    /// The backends that are marked as unresponsive.
+    /// The backends whose mark [`clear_unresponsive`](Self::clear_unresponsive) has to take off.
+    /// One occurs for each overdue attempt, and may have lost its mark by a restart.
     unresponsive: Vec<BackendId>,
 }
 
 impl OutlierDetector {
     /// Computes the time between two visits to a backend from the rate of this proxy's requests;
-    /// `None` where that time does not matter.
+    /// `None` if the rate is not known, or if few proxies share each backend.
     pub fn update_visit_interval(&mut self, ready_backends: usize, rate: Option<f64>) {
         let interval = match rate {
             Some(rate) => ready_backends as f64 / rate.max(EPSILON),
@@ -117,19 +120,19 @@
             return false;
         }
         let baseline = backends.baseline_latency(attempt.backend);
-        elapsed > latencies.threshold(baseline, attempt.class, SLOW_FRACTION)
+        elapsed > latencies.latency_within_objective(baseline, attempt.class, SLOW_FRACTION)
     }
 
     /// Ejects a backend unless an ejection is under way; returns whether it did.
     fn eject(&self, now: Time, id: BackendId, backends: &mut BackendTable, rng: &mut Rng) -> bool {
         let jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * rng.unit();
-        let least_duration = EJECTION_TIME.max(self.visit_interval * EJECTION_VISITS);
+        let base_duration = BASE_EJECTION_SECONDS.max(self.visit_interval * BASE_EJECTION_VISITS);
         let Some(backend) = backends.get_mut(id) else {
             return false;
         };
-        let is_ejected = backend.health_mut().eject(now, least_duration * jitter);
+        let is_ejected = backend.health_mut().eject(now, base_duration * jitter);
         if is_ejected {
-            backend.set_readiness(0.0);
+            backend.stop_using();
         }
         is_ejected
     }
@@ -155,7 +158,7 @@
         latencies: &LatencyEstimates,
     ) -> Time {
         let baseline = backends.baseline_latency(attempt.backend);
-        let slow_after = latencies.threshold(baseline, attempt.class, SLOW_FRACTION);
+        let slow_after = latencies.latency_within_objective(baseline, attempt.class, SLOW_FRACTION);
         let typical = latencies.typical(attempt.class);
         let overdue_at = attempt.sent_at + typical.times(UNRESPONSIVE_AFTER);
         let is_watched_for_slowness = self.visit_interval > 0.0;
--- a/crates/balancer/src/backends/readiness.rs
+++ b/crates/balancer/src/backends/readiness.rs
@@ -4,7 +4,7 @@
 use super::warmup::warmup_fraction;
 use super::Backend;
 use crate::estimation::EPSILON;
-use crate::halb::TARGET_CONCURRENCY;
+use crate::peers::TARGET_CONCURRENCY;
 use crate::{Config, Endpoint, Time};
 
 /// Fraction of the configured slow start that a backend likely needs: the configured time is the
--- a/crates/balancer/src/backends/speed.rs
+++ b/crates/balancer/src/backends/speed.rs
@@ -1,15 +1,16 @@
 //! The speed of a machine type, estimated from the latency of its responses and from its load.
 
 use crate::estimation::RunningMean;
-use crate::halb::TARGET_CONCURRENCY;
+use crate::peers::TARGET_CONCURRENCY;
 
 /// Memory of the speed, s: a machine's speed changes seldom, the rate from which it is computed
 /// changes all the time.
 const SPEED_MEMORY: f64 = 10.0;
 /// Multiple of the mean latency up to which one response counts.
 const LATENCY_CLIP: f64 = 3.0;
-/// Responses before the mean latency counts in full.
-const MIN_LATENCY_SAMPLES: f64 = 10.0;
+/// Below this many responses a new speed replaces the old one. From then on it is smoothed over
+/// [`SPEED_MEMORY`].
+const MIN_SAMPLES_TO_SMOOTH: f64 = 10.0;
 /// Relative rise of the baseline latency and of the proven speed, per second. A mean that is taken
 /// over at once may be that of an overloaded start.
 const RISE_PER_SECOND: f64 = 0.03;
@@ -41,7 +42,8 @@
         self.baseline_latency
     }
 
-    /// Requests per second that one backend has been seen to serve; `None` before any response.
+    /// A conservative estimate of the requests per second that one backend can serve; `None` before
+    /// any response.
     ///
     /// The estimate of speed includes the traffic per backend, which is too high while few backends
     /// are ready. A backend with at most [`TARGET_CONCURRENCY`] requests in flight beside a new one
@@ -85,7 +87,7 @@
         // The estimate is smoothed, because the flow is only this proxy's own view of it. Without
         // smoothing, a machine type with a large share would look ever faster, and the proxies
         // would oscillate together.
-        let weight = if self.latency.count < MIN_LATENCY_SAMPLES {
+        let weight = if self.latency.count < MIN_SAMPLES_TO_SMOOTH {
             1.0
         } else {
             (elapsed / SPEED_MEMORY).min(1.0)
--- a/crates/balancer/src/backends/table.rs
+++ b/crates/balancer/src/backends/table.rs
@@ -6,16 +6,16 @@
 use crate::{BackendId, Config, Endpoint, EndpointUpdate, MachineTypeId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ejected backends beyond this fraction of the fleet are used after all: then they are not at
-/// fault.
+/// If more than this fraction of the backends that the list has as ready is ejected, ejections are
+/// ignored (panic mode): so many failures at once are not the fault of single backends.
 const PANIC_THRESHOLD: f64 = 0.5;
 /// Speed assumed where that of no machine type is known, in requests per second.
 const ASSUMED_SPEED: f64 = 1.0;
 
 /// The backends and machine types that this proxy uses.
 ///
-/// It owns both. Outlier detection changes the health of backends through it; the regular
-/// computation of the shares sets what each backend may be sent.
+/// It owns both. Outlier detection changes the health of backends through it. The computation of
+/// the shares, whose results are passed in, sets what each backend may be sent.
 #[derive(Default)]
 pub(crate) struct BackendTable {
     backends: BTreeMap<BackendId, Backend>,
@@ -53,7 +53,8 @@
         self.machine_types.iter().map(|(id, found)| (*id, found))
     }
 
-    /// The unloaded latency of a mean request on a backend, s, if that is known.
+    /// The unloaded latency of a mean request on a backend, s: an assumption until responses came,
+    /// `None` before the first computation of the shares.
     pub fn baseline_latency(&self, id: BackendId) -> Option<f64> {
         let backend = self.backends.get(&id)?;
         let machine_type = self.machine_types.get(&backend.machine_type())?;
@@ -72,7 +73,8 @@
         backends.map(|backend| backend.endpoint().zone).collect()
     }
 
-    /// Takes in an update of the endpoint list; returns whether anything but weights changed.
+    /// Takes in an update of the endpoint list. Returns whether anything but weights changed, or a
+    /// complete list lacks a known backend.
     pub fn apply_update(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> bool {
         let is_complete = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let mut has_changed = is_complete && self.mark_unlisted(&endpoints);
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -9,7 +9,7 @@
 mod dispatch;
 mod periodic;
 
-use crate::admission::{AdmissionControl, PROMPT_FRACTION};
+use crate::admission::{prompt_latency, AdmissionControl};
 use crate::backends::{BackendTable, OutlierDetector};
 use crate::discovery_watch::DiscoveryWatch;
 use crate::estimation::{LatencyEstimates, RATE_MEMORY};
@@ -19,7 +19,7 @@
 use crate::random::Rng;
 use crate::requests::{InFlightAttempt, Request, RequestQueue, RequestTable};
 use crate::retry::{RetryBudget, QUEUE_CHECK_TICKS};
-use crate::routing::{count_in_flight, ConcurrencyLimits, TrafficShares};
+use crate::routing::{count_in_flight, ConcurrencyLimits, ShareSchedule};
 use crate::subset::{Subset, SubsetUpdate};
 use crate::wakeups::Wakeups;
 use crate::{
@@ -41,12 +41,12 @@
     retry_budget: RetryBudget,
     /// The backends that this proxy uses, and their machine types.
     backends: BackendTable,
-    /// Which backends are faulty.
+    /// Decides which backends are ejected, suspect or unresponsive.
     outliers: OutlierDetector,
     /// How many attempts this proxy may have in flight.
     concurrency: ConcurrencyLimits,
     /// When the shares of the traffic are computed, and how much of it they can place.
-    shares: TrafficShares,
+    shares: ShareSchedule,
     /// Latency and work of each class.
     latencies: LatencyEstimates,
     /// The endpoint list, and the part of it that this proxy uses.
@@ -62,7 +62,12 @@
 }
 
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration.
+    /// A proxy that knows nothing yet but its configuration. The same seed and the same events
+    /// cause the same actions.
+    ///
+    /// # Errors
+    ///
+    /// A field of the configuration is out of its range.
     pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
         config.validate()?;
         Ok(Balancer {
@@ -74,7 +79,7 @@
             backends: BackendTable::default(),
             outliers: OutlierDetector::default(),
             concurrency: ConcurrencyLimits::new(),
-            shares: TrafficShares::new(&config),
+            shares: ShareSchedule::new(&config),
             latencies: LatencyEstimates::new(&config),
             subset: Subset::new(),
             discovery_watch: DiscoveryWatch::new(&config),
@@ -93,9 +98,12 @@
         self.shares.record_event(now);
         let in_flight = self.count_in_flight();
         self.concurrency.record_in_flight(now, in_flight);
-        if !self.handle_event(now, event) {
-            return;
+        if let Event::Timer { token } = event {
+            if !self.wakeups.accept_timer(token) {
+                return; // a newer timer has replaced it
+            }
         }
+        self.handle_event(now, event);
         if self.shares.are_due(now) {
             self.recompute_shares(now);
         }
@@ -108,15 +116,14 @@
         if let Some(max_idle) = self.idle_connections.take_change() {
             self.outbox.push(Action::LimitIdleConnections { max_idle });
         }
-        if let Some(set_timer) = self.wakeups.timer_to_set(now, self.config.tick) {
+        if let Some(set_timer) = self.wakeups.arm_timer(now, self.config.tick) {
             self.outbox.push(set_timer);
         }
         self.outbox.drain_into(actions);
     }
 
-    /// Handles what is particular to an event; returns false for a timer that was replaced by a
-    /// newer one, which changes nothing.
-    fn handle_event(&mut self, now: Time, event: Event) -> bool {
+    /// Handles what is particular to an event.
+    fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::EndpointsUpdated { update, endpoints } => {
                 self.on_endpoints_updated(now, update, endpoints);
@@ -131,9 +138,8 @@
                     .on_connection_rejected(now, idle_connections);
             }
             Event::ClientDisconnected { request } => self.close_request(request),
-            Event::Timer { token } => return self.wakeups.accept_timer(token),
+            Event::Timer { .. } => {} // its only effect is the wake-up
         }
-        true
     }
 
     fn on_endpoints_updated(
@@ -216,12 +222,7 @@
         let Some(attempt) = self.requests.take_in_flight(&end) else {
             return;
         };
-        let objective = self.config.classes[attempt.class.0].latency_objective;
-        if end.outcome == Outcome::Cancelled && end.latency > objective {
-            // The attempt was cancelled, mostly because its client left, after all that time: this
-            // counts against the backend as much as a time-out.
-            end.outcome = Outcome::TimedOut;
-        }
+        end.outcome = self.effective_outcome(&attempt, &end);
         self.adjust_admission(&attempt, &end);
         self.learn_from_outcome(now, &attempt, &end);
         let Some(request) = self.requests.record_attempt_end(&end) else {
@@ -237,15 +238,29 @@
         }
     }
 
-    /// Lets admission control learn from the end of an attempt. A rejection mostly comes from a
-    /// backend that drains or lacks connections, not from overload.
+    /// The outcome that counts. A cancelled attempt that took longer than its class's objective
+    /// counts as a time-out: mostly its client has left after all that time.
+    fn effective_outcome(&self, attempt: &InFlightAttempt, end: &AttemptEnd) -> Outcome {
+        let objective = self.config.classes[attempt.class.0].latency_objective;
+        if end.outcome == Outcome::Cancelled && end.latency > objective {
+            Outcome::TimedOut
+        } else {
+            end.outcome
+        }
+    }
+
+    /// Lets admission control learn from the end of an attempt. Only successes and time-outs count:
+    /// the other outcomes come from cancellations and from faulty, draining or unreachable
+    /// backends, not from overload.
     fn adjust_admission(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let is_success = end.outcome == Outcome::Success;
         let shows_load = is_success || end.outcome == Outcome::TimedOut;
         if attempt.counted_late || !shows_load {
             return;
         }
-        let is_prompt = is_success && end.latency < self.prompt_latency(attempt);
+        let baseline = self.backends.baseline_latency(attempt.backend);
+        let prompt_latency = prompt_latency(&self.latencies, baseline, attempt.class);
+        let is_prompt = is_success && end.latency < prompt_latency;
         self.admission.adjust(is_prompt, self.peers());
     }
 
@@ -264,6 +279,8 @@
             &mut self.rng,
         );
         if is_ejected {
+            // Requests whose only attempt is on this backend are probably lost: they are hedged at
+            // the next wake-up.
             self.wakeups.wake_by(now + self.config.tick);
             let ejection = LogEvent::BackendEjected {
                 backend: attempt.backend,
@@ -278,13 +295,6 @@
         }
     }
 
-    /// The time from its dispatch within which a response to an attempt counts as prompt.
-    fn prompt_latency(&self, attempt: &InFlightAttempt) -> Micros {
-        let baseline = self.backends.baseline_latency(attempt.backend);
-        self.latencies
-            .threshold(baseline, attempt.class, PROMPT_FRACTION)
-    }
-
     /// The proxies that share each backend with this one.
     fn peers(&self) -> Peers {
         Peers {
@@ -297,8 +307,8 @@
         count_in_flight(&self.requests, &self.backends, self.peers())
     }
 
-    /// When a client that is rejected now may find capacity: until then the rate that left it none
-    /// still counts.
+    /// How long a client that is rejected now should wait before it retries. Rate estimates cover
+    /// that time, so that an earlier retry would meet the same load.
     pub fn retry_after(&self) -> Micros {
         Micros::from_secs(RATE_MEMORY)
     }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -1,16 +1,19 @@
 //! From a waiting request to its attempts and its final response.
 
 use super::Balancer;
-use crate::admission::PROMPT_FRACTION;
+use crate::admission::prompt_latency;
 use crate::requests::{QueuedRequest, Request};
 use crate::retry::RetryPolicy;
 use crate::routing::Picker;
 use crate::{Action, AttemptNumber, BackendId, RequestId, Time};
 
-/// What a waiting request can have now.
-enum Offer {
-    /// An attempt on this backend.
-    Backend(BackendId),
+/// The number of a request's first attempt.
+const FIRST_ATTEMPT: AttemptNumber = AttemptNumber(0);
+
+/// What is to be done with a waiting request now.
+enum DispatchDecision {
+    /// An attempt is sent to this backend.
+    Send(BackendId),
     /// No backend has capacity for it.
     NoCapacity,
     /// No further attempt is allowed.
@@ -20,7 +23,7 @@
 impl Balancer {
     /// Sends what waits, in the order of [`QueuedRequest::sending_order`].
     pub(super) fn send_queued(&mut self, now: Time) {
-        if self.queue.is_idle() {
+        if self.queue.is_empty_or_blocked() {
             return;
         }
         for queued in self.take_queued() {
@@ -53,29 +56,29 @@
             return;
         };
         let is_in_flight = request.is_in_flight();
-        match self.offer(now, id) {
-            Offer::Backend(backend) => self.dispatch(now, id, backend),
-            Offer::NoCapacity => self.queue_again(id),
-            Offer::NotAllowed if !is_in_flight => self.give_up(id),
+        match self.decide(now, id) {
+            DispatchDecision::Send(backend) => self.dispatch(now, id, backend),
+            DispatchDecision::NoCapacity => self.queue_again(id),
+            DispatchDecision::NotAllowed if !is_in_flight => self.give_up(id),
             // Its attempt in flight may still succeed.
-            Offer::NotAllowed => {}
+            DispatchDecision::NotAllowed => {}
         }
     }
 
-    /// What a request can have now.
-    fn offer(&mut self, now: Time, id: RequestId) -> Offer {
+    /// Decides what is to be done with a waiting request now.
+    fn decide(&mut self, now: Time, id: RequestId) -> DispatchDecision {
         let Some(request) = self.requests.get(id) else {
-            return Offer::NotAllowed;
+            return DispatchDecision::NotAllowed;
         };
         let has_budget = !request.needs_retry_budget() || self.retry_budget.is_available();
         let retry_policy = RetryPolicy::new(&self.config, request);
         if !has_budget || !retry_policy.allows_attempt(now, request) {
-            return Offer::NotAllowed;
+            return DispatchDecision::NotAllowed;
         }
         let in_flight = self.count_in_flight();
         let is_low_priority = request.weight.is_low_priority();
         if !self.concurrency.allow(in_flight, is_low_priority) {
-            return Offer::NoCapacity;
+            return DispatchDecision::NoCapacity;
         }
         let picker = Picker::new(
             now,
@@ -86,8 +89,8 @@
             &self.discovery_watch,
         );
         match picker.pick(&mut self.rng) {
-            Some(backend) => Offer::Backend(backend),
-            None => Offer::NoCapacity,
+            Some(backend) => DispatchDecision::Send(backend),
+            None => DispatchDecision::NoCapacity,
         }
     }
 
@@ -106,7 +109,7 @@
         backend.record_dispatch(now, work, self.config.overload_window);
         self.requests.record_dispatch(now, id, backend.endpoint());
         let baseline = self.backends.baseline_latency(backend_id);
-        let prompt_latency = self.latencies.threshold(baseline, class, PROMPT_FRACTION);
+        let prompt_latency = prompt_latency(&self.latencies, baseline, class);
         self.wakeups.wake_by(now + prompt_latency);
         self.outbox.push(Action::Dispatch {
             request: id,
@@ -114,17 +117,17 @@
         });
     }
 
-    /// Queues a request that found no capacity.
+    /// Queues a request that found no capacity, and blocks first attempts that are less important.
     fn queue_again(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(id).filter(|request| request.is_unsent()) {
-            self.queue.block_like(request);
+            self.queue.block_up_to_priority_of(request);
         }
         self.queue.push(id);
     }
 
-    /// Queues a further attempt beside the one in flight. Where none may run beside it, cancels
-    /// that to make way for the next.
-    pub(super) fn hedge(&mut self, now: Time, id: RequestId) {
+    /// Queues a further attempt beside the only one, which is in flight. Where none may run beside
+    /// it, cancels that one to make way for the next.
+    pub(super) fn hedge_or_replace(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -136,7 +139,7 @@
         } else if retry_policy.allows_replacement() {
             self.outbox.push(Action::Cancel {
                 request: id,
-                attempt: AttemptNumber(0),
+                attempt: FIRST_ATTEMPT,
             });
         }
     }
@@ -147,7 +150,7 @@
             return;
         };
         let retry_policy = RetryPolicy::new(&self.config, request);
-        let response = if retry_policy.is_rejection_harmless(request) {
+        let response = if retry_policy.is_client_retry_safe(request) {
             Action::Reject { request: id }
         } else {
             Action::Fail { request: id }
@@ -164,7 +167,8 @@
         self.close_request(id);
     }
 
-    /// Forgets a request and cancels its attempts that are still in flight.
+    /// Forgets a request. Cancels its attempts in flight if the configuration allows that;
+    /// otherwise they end later.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(id) else {
             return;
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Until when the newest attempt of a request may begin to be sent; `None` if no limit is
-    /// known.
+    /// Until when the newest attempt of a request may begin to be sent. `None` if the request is
+    /// closed, has no idempotency key, or no earlier attempt may have run.
     pub fn send_by(&self, request: RequestId) -> Option<Time> {
         let request = self.requests.get(request)?;
         RetryPolicy::new(&self.config, request).send_by(request)
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -1,8 +1,8 @@
-//! What is done at regular times: the computation of the shares, polls of discovery, and the checks
-//! of attempts and requests.
+//! What is done at wake-ups and at the interval of the computation of the shares: that computation,
+//! polls of discovery, and the checks of attempts and requests.
 
 use super::Balancer;
-use crate::admission::PROMPT_FRACTION;
+use crate::admission::prompt_latency;
 use crate::backends::Backend;
 use crate::estimation::ASSUMED_LATENCY;
 use crate::requests::Request;
@@ -30,6 +30,7 @@
         let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY;
         self.backends
             .estimate_speeds(elapsed, assumed_latency, fleet_rate);
+        // Before any response no speed is known: without a rate the traffic is split evenly.
         let known_rate = fleet_rate.filter(|_| self.latencies.has_samples());
         self.backends.split_by_machine_type(known_rate);
         self.concurrency
@@ -71,18 +72,18 @@
         }
     }
 
-    /// Finds late responses and the backends whose responses are long overdue.
+    /// Marks the backends whose responses are long overdue, counts late attempts in admission
+    /// control, and schedules the next check.
     pub(super) fn check_attempts(&mut self, now: Time) {
         if self.outliers.clear_unresponsive(&mut self.backends) {
-            // A backend that has responded meanwhile has capacity again.
+            // The marks are set again below for the backends that still do not respond. The others
+            // have capacity again.
             self.queue.unblock();
         }
         let peers = self.peers();
         for attempt in self.requests.in_flight_mut() {
             let baseline = self.backends.baseline_latency(attempt.backend);
-            let prompt_latency = self
-                .latencies
-                .threshold(baseline, attempt.class, PROMPT_FRACTION);
+            let prompt_latency = prompt_latency(&self.latencies, baseline, attempt.class);
             // Lateness is known once the time is up: an overloaded backend responds only much
             // later.
             let late_at = attempt.sent_at + prompt_latency;
@@ -119,7 +120,7 @@
         }
         self.wakeups.wake_by(next_check_at);
         for id in lost {
-            self.hedge(now, id);
+            self.hedge_or_replace(now, id);
         }
         for id in overdue {
             self.give_up(id);
@@ -134,9 +135,8 @@
             return false;
         };
         let backend = self.backends.get(attempt.endpoint.id);
-        let is_out_of_use =
-            backend.is_none_or(|backend: &Backend| backend.health().is_out_of_use());
+        let is_down = backend.is_none_or(|backend: &Backend| backend.health().is_probably_down());
         let would_be_in_time = now + self.latencies.typical(request.class) < request.objective_at;
-        attempt.in_flight && is_out_of_use && would_be_in_time && self.retry_budget.is_available()
+        attempt.in_flight && is_down && would_be_in_time && self.retry_budget.is_available()
     }
 }
--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -69,7 +69,13 @@
 
     /// The latency of an unloaded response plus `fraction` of the time from there to the objective.
     /// `baseline` is the unloaded latency of a mean request on the backend, s, if that is known.
-    pub fn threshold(&self, baseline: Option<f64>, class: ClassId, fraction: f64) -> Micros {
+    /// The objective is that of the class, without a request's work hint.
+    pub fn latency_within_objective(
+        &self,
+        baseline: Option<f64>,
+        class: ClassId,
+        fraction: f64,
+    ) -> Micros {
         let objective = self.classes[class.0].objective.secs();
         let unloaded = match baseline {
             Some(latency) => latency * self.relative_work(class),
--- a/crates/balancer/src/halb.rs
+++ b/crates/balancer/src/halb.rs
@@ -2,9 +2,6 @@
 
 /// Loads below this fraction of the total speed count as none.
 const MIN_LOAD: f64 = 1e-6;
-/// Requests that all proxies together may have in flight on one backend. A shared processor at four
-/// fifths of its capacity has four on average; more only makes each of them later.
-pub(crate) const TARGET_CONCURRENCY: f64 = 4.0;
 
 /// Backends of one machine type.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/peers.rs
@@ -1,6 +1,9 @@
 //! The proxies that share each backend.
 
-use crate::halb::TARGET_CONCURRENCY;
+/// Requests that all proxies together should have in flight on one backend. A shared processor at
+/// four fifths of its capacity has four on average; more only makes each of them later. It is a
+/// target, which the limits of single proxies may exceed for a moment.
+pub(crate) const TARGET_CONCURRENCY: f64 = 4.0;
 
 /// How many proxies share each backend that this proxy uses.
 #[derive(Clone, Copy, Debug)]
--- a/crates/balancer/src/requests/queue.rs
+++ b/crates/balancer/src/requests/queue.rs
@@ -4,14 +4,18 @@
 use crate::{RequestId, Time};
 use std::cmp::Ordering;
 
-/// The weight of requests that the queue never holds back.
-const NEVER_BLOCKED: f64 = f64::MAX;
+/// Compared with the mark in place of the weight of a request that was sent before: it is never
+/// below the mark.
+const RETRY_BLOCKING_WEIGHT: f64 = f64::MAX;
+/// The mark while no first attempt of any weight finds capacity.
+const ALL_FIRST_ATTEMPTS_BLOCKED: f64 = f64::MAX;
 
 /// A waiting request with what decides its place in the queue.
 pub(crate) struct QueuedRequest {
     /// The request.
     pub id: RequestId,
-    /// What it is worth to the operators' objective per unit of work.
+    /// What it is worth to the operators' objective per unit of work: the priority density of the
+    /// fractional knapsack problem.
     density: f64,
     arrived_at: Time,
     /// What is compared with the weight below which the queue is blocked.
@@ -26,7 +30,7 @@
         let blocking_weight = if request.is_unsent() {
             request.weight.value()
         } else {
-            NEVER_BLOCKED
+            RETRY_BLOCKING_WEIGHT
         };
         QueuedRequest {
             id,
@@ -36,7 +40,7 @@
         }
     }
 
-    /// The order of sending: the highest density first, and the newest first among equals.
+    /// The order of sending: the highest density first, and the last to arrive first among equals.
     pub fn sending_order(&self, other: &QueuedRequest) -> Ordering {
         let by_density = other.density.total_cmp(&self.density);
         let by_arrival = other.arrived_at.cmp(&self.arrived_at);
@@ -76,9 +80,11 @@
         std::mem::take(&mut self.waiting)
     }
 
-    /// Whether there is nothing to send: no request waits, or no first attempt finds capacity.
-    pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() || self.blocked_below_weight == NEVER_BLOCKED
+    /// Whether a pass over the queue can be skipped: no request waits, or no first attempt finds
+    /// capacity. In the second case waiting retries are not tried either, until
+    /// [`unblock`](Self::unblock).
+    pub fn is_empty_or_blocked(&self) -> bool {
+        self.waiting.is_empty() || self.blocked_below_weight == ALL_FIRST_ATTEMPTS_BLOCKED
     }
 
     /// Whether a request would find no capacity, because none of a higher weight did.
@@ -86,9 +92,13 @@
         queued.blocking_weight < self.blocked_below_weight
     }
 
-    /// Records that a request found no capacity for its first attempt.
-    pub fn block_like(&mut self, request: &Request) {
-        let weight = request.weight.low_priority_limit().unwrap_or(NEVER_BLOCKED);
+    /// Records that the first attempt of a request found no capacity. If the request has low
+    /// priority, all first attempts of low priority are blocked, otherwise all first attempts.
+    pub fn block_up_to_priority_of(&mut self, request: &Request) {
+        let weight = request
+            .weight
+            .low_priority_limit()
+            .unwrap_or(ALL_FIRST_ATTEMPTS_BLOCKED);
         self.blocked_below_weight = self.blocked_below_weight.max(weight);
     }
 
--- a/crates/balancer/src/requests/queue/tests.rs
+++ b/crates/balancer/src/requests/queue/tests.rs
@@ -36,8 +36,8 @@
     let mut queue = RequestQueue::default();
     queue.push(RequestId(1));
     let low_priority = low_priority_request();
-    queue.block_like(&low_priority);
-    assert!(!queue.is_idle());
+    queue.block_up_to_priority_of(&low_priority);
+    assert!(!queue.is_empty_or_blocked());
     assert!(queue.is_blocked(&QueuedRequest::new(RequestId(1), &low_priority, 1.0)));
     assert!(!queue.is_blocked(&queued(2, START, 1.0)));
 }
@@ -46,13 +46,13 @@
 fn a_blocked_request_of_full_weight_blocks_all_first_attempts_until_capacity_is_free() {
     let mut queue = RequestQueue::default();
     queue.push(RequestId(1));
-    queue.block_like(&request(START));
-    assert!(queue.is_idle());
+    queue.block_up_to_priority_of(&request(START));
+    assert!(queue.is_empty_or_blocked());
     assert!(queue.is_blocked(&queued(1, START, 1.0)));
     let mut retried = low_priority_request();
     retried.attempts.push(Attempt::new(endpoint(1), START));
     assert!(!queue.is_blocked(&QueuedRequest::new(RequestId(2), &retried, 1.0)));
     queue.unblock();
-    assert!(!queue.is_idle());
+    assert!(!queue.is_empty_or_blocked());
     assert!(!queue.is_blocked(&queued(1, START, 1.0)));
 }
--- a/crates/balancer/src/requests/table.rs
+++ b/crates/balancer/src/requests/table.rs
@@ -25,8 +25,10 @@
 
 /// The open requests and their attempts in flight.
 ///
-/// It owns both. An attempt in flight can outlive its request: the request is closed with its final
-/// response, the attempt ends when the host reports it.
+/// It owns both. An attempt in flight of an open request is recorded twice: with its request, for
+/// the retry policy, and among those in flight, where it outlives its request. At the end of an
+/// attempt [`take_in_flight`](Self::take_in_flight) and then
+/// [`record_attempt_end`](Self::record_attempt_end) must be called.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
--- a/crates/balancer/src/retry/deadlines.rs
+++ b/crates/balancer/src/retry/deadlines.rs
@@ -9,8 +9,10 @@
 /// Whether a request needs its final response now. `typical_latency` is what a served request of
 /// its class usually takes.
 ///
-/// The tick after the deadline would be too late. A request with no attempt in flight that cannot
-/// succeed any more gets its response before that, while a rejection is still harmless.
+/// The deadline itself would be too late: the final response is due one tick before it. A request
+/// with no attempt in flight gets it earlier, if an attempt of typical latency would end after the
+/// time until which a response is useful. That is the deadline if the request was sent before and
+/// its class has a late weight, otherwise the objective.
 pub(crate) fn is_overdue(
     now: Time,
     config: &Config,
@@ -24,9 +26,9 @@
     } else {
         request.objective_at
     };
-    let is_hopeless = now + typical_latency >= useful_until;
+    let is_too_late_to_start = now + typical_latency >= useful_until;
     let is_last_tick = now + config.tick >= request.deadline;
-    is_last_tick || (is_hopeless && !request.is_in_flight())
+    is_last_tick || (is_too_late_to_start && !request.is_in_flight())
 }
 
 /// When a request has to be looked at again, whatever happens until then.
--- a/crates/balancer/src/retry/policy.rs
+++ b/crates/balancer/src/retry/policy.rs
@@ -3,7 +3,8 @@
 use crate::requests::{Attempt, Request};
 use crate::{Class, Config, Endpoint, Idempotency, KeyScope, Time};
 
-/// The rules for further attempts of the requests of one class.
+/// Whether and where a request may have its next attempt, and what its client may be told. It reads
+/// the configuration and the idempotency of the request's class.
 pub(crate) struct RetryPolicy<'a> {
     config: &'a Config,
     idempotency: Idempotency,
@@ -29,7 +30,8 @@
             && attempts.all(|attempt| attempt.not_executed || self.is_repeatable(now, attempt))
     }
 
-    /// Whether executing the request again does no harm, although this attempt may have run.
+    /// Whether executing the request again does no harm, although this attempt may have run. An
+    /// idempotency key has to last for one more tick, in which the next attempt is sent.
     fn is_repeatable(&self, now: Time, attempt: &Attempt) -> bool {
         match self.idempotency {
             Idempotency::Idempotent => true,
@@ -42,19 +44,19 @@
 
     /// Whether a further attempt may go to this backend: to none that had one already, and, if an
     /// earlier attempt may have run, only to one that knows the idempotency keys of that attempt's
-    /// backend. A retry elsewhere would be executed twice.
+    /// backend. A retry with an idempotency key would be executed twice elsewhere.
     pub fn allows_backend(&self, request: &Request, endpoint: &Endpoint) -> bool {
         let mut attempts = request.attempts.iter();
         attempts.all(|attempt| {
             let is_other_backend = attempt.endpoint.id != endpoint.id;
             is_other_backend
-                && (attempt.not_executed || self.shares_keys(&attempt.endpoint, endpoint))
+                && (attempt.not_executed || self.may_repeat_on(&attempt.endpoint, endpoint))
         })
     }
 
-    /// Whether a backend discards duplicates of what the first backend has executed, as far as that
-    /// matters for the class.
-    fn shares_keys(&self, first: &Endpoint, other: &Endpoint) -> bool {
+    /// Whether the request may be executed on `other` after `first` may have executed it. Only the
+    /// scope of idempotency keys restricts that.
+    fn may_repeat_on(&self, first: &Endpoint, other: &Endpoint) -> bool {
         match self.idempotency.key_scope() {
             Some(KeyScope::Zone) => first.zone == other.zone,
             Some(KeyScope::Cell) => first.cell == other.cell,
@@ -75,7 +77,7 @@
     }
 
     /// Whether a client that is told that its request was rejected may safely send it again.
-    pub fn is_rejection_harmless(&self, request: &Request) -> bool {
+    pub fn is_client_retry_safe(&self, request: &Request) -> bool {
         let is_repeatable_anywhere = match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey { scope, .. } => scope == KeyScope::All,
--- a/crates/balancer/src/retry/policy/tests.rs
+++ b/crates/balancer/src/retry/policy/tests.rs
@@ -23,11 +23,11 @@
     let mut request = tried_request(START, &[1]);
     let policy = RetryPolicy::new(&config, &request);
     assert!(!policy.allows_attempt(START, &request));
-    assert!(!policy.is_rejection_harmless(&request));
+    assert!(!policy.is_client_retry_safe(&request));
     assert!(!policy.allows_replacement());
     request.attempts[0].not_executed = true;
     assert!(policy.allows_attempt(START, &request));
-    assert!(policy.is_rejection_harmless(&request));
+    assert!(policy.is_client_retry_safe(&request));
 }
 
 #[test]
@@ -76,7 +76,7 @@
         assert_eq!(policy.allows_backend(&request, &other_cell), cell_allowed);
         assert_eq!(policy.allows_backend(&request, &other_zone), zone_allowed);
         assert_eq!(
-            policy.is_rejection_harmless(&request),
+            policy.is_client_retry_safe(&request),
             scope == KeyScope::All
         );
     }
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -17,5 +17,5 @@
 pub(crate) use concurrency_limits::{count_in_flight, ConcurrencyLimits};
 pub(crate) use picker::Picker;
 pub(crate) use slow_start_quotas::SlowStartPlan;
-pub(crate) use traffic_shares::{SharePlan, TrafficShares};
+pub(crate) use traffic_shares::{SharePlan, ShareSchedule};
 pub(crate) use zone_affinity::ZoneFactors;
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -1,6 +1,6 @@
 //! The limits on what this proxy has in flight on all backends together.
 
-use crate::admission::LOW_PRIORITY_CAPACITY;
+use crate::admission::LOW_PRIORITY_CAPACITY_FRACTION;
 use crate::backends::{Backend, BackendTable};
 use crate::estimation::TimeWeightedMean;
 use crate::peers::Peers;
@@ -57,7 +57,7 @@
     /// Whether one more attempt may be sent while `in_flight` count.
     pub fn allow(&self, in_flight: f64, is_low_priority: bool) -> bool {
         let limit = if is_low_priority {
-            self.momentary * LOW_PRIORITY_CAPACITY
+            self.momentary * LOW_PRIORITY_CAPACITY_FRACTION
         } else {
             self.momentary
         };
@@ -66,9 +66,9 @@
     }
 }
 
-/// Attempts that count against the limits of this proxy. With many proxies, those on unresponsive
-/// or ejected backends do not count: one that waits there for its deadline would keep ten others
-/// from the rest of the fleet.
+/// Attempts that count against the limits of this proxy. If few proxies share a backend, all count.
+/// Otherwise only those on usable backends count: an attempt on another backend may stay in flight
+/// until its deadline, and would take capacity that the usable backends have.
 pub(crate) fn count_in_flight(
     requests: &RequestTable,
     backends: &BackendTable,
--- a/crates/balancer/src/routing/picker.rs
+++ b/crates/balancer/src/routing/picker.rs
@@ -23,7 +23,8 @@
     retry_policy: RetryPolicy<'a>,
     /// The request's work in multiples of a mean request.
     work: f64,
-    /// The endpoint list has every change that this proxy counts as notified of.
+    /// The endpoint list has every change that discovery has had, and could be polled for, for
+    /// longer than [`NOTIFICATION_DEADLINE`].
     is_list_fresh: bool,
 }
 
@@ -48,8 +49,10 @@
         }
     }
 
-    /// A backend for the request, or `None` if none has capacity. A first attempt draws the machine
-    /// type by its share, then a backend of it by readiness.
+    /// A backend for the request, or `None` if none has capacity. A first attempt draws a machine
+    /// type, then one of its backends, both by local share, up to [`MAX_DRAWS`] times. If no drawn
+    /// backend is available, or for a further attempt, one of all available backends is drawn by
+    /// local share.
     pub fn pick(&self, rng: &mut Rng) -> Option<BackendId> {
         if self.request.is_unsent() {
             let machine_types = self.shares_of_machine_types();
@@ -104,9 +107,10 @@
             && backend.is_within_slow_start_quota(self.now, window, self.work)
     }
 
-    /// Whether the backend is certainly not draining. A list that may be out of date is trusted for
-    /// backends that served a recent request: they were not draining when that was sent, and a
-    /// change counts as notified only so much later.
+    /// Whether the backend's entry may be relied on: if the list is stale, the backend may have
+    /// begun to drain. A stale list is still trusted for a backend that served a request that was
+    /// sent less than [`NOTIFICATION_DEADLINE`] ago: it was not draining then, and a proxy has that
+    /// long to learn of a change.
     fn is_listing_trusted(&self, backend: &Backend) -> bool {
         let last_accepted_at = backend.health().last_accepted_at();
         self.is_list_fresh || self.now - last_accepted_at < NOTIFICATION_DEADLINE
--- a/crates/balancer/src/routing/slow_start_quotas.rs
+++ b/crates/balancer/src/routing/slow_start_quotas.rs
@@ -8,13 +8,15 @@
 
 /// Fraction of the overload limit that proxies divide: the rest is for heavy work and errors of the
 /// estimate.
-const LIMIT_MARGIN: f64 = 0.8;
-/// Fraction of its quota that a proxy plans to use: only unceasing demand would use up the last of
-/// it.
+const DIVIDED_FRACTION: f64 = 0.8;
+/// Fraction of its quota that a proxy plans to use: a quota is used up completely only if a request
+/// waits for it at every moment.
 const MAX_PLANNED_USE: f64 = 0.65;
 /// Speed of a backend of an unknown machine type, as a fraction of an even share of the traffic:
 /// the rate may be that of a burst.
 const UNKNOWN_SPEED: f64 = 0.5;
+/// Fraction of a capacity that is divided evenly; the rest follows the factors of the zones.
+const EVEN_FRACTION: f64 = 0.5;
 /// The golden ratio as a fraction of 2^64.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The square root of two as a fraction of 2^64.
@@ -28,13 +30,14 @@
 pub(crate) struct SlowStartQuota {
     /// Work in any overload window, in multiples of a mean request; infinite after slow start.
     pub work: f64,
-    /// Fraction of the traffic that all proxies together can so give the backend.
+    /// Fraction of the fleet's traffic that the quotas of all proxies let the backend take.
     pub planned_share: f64,
-    /// Fraction of this proxy's traffic to pick the backend with, so that it comes to that.
+    /// Fraction of this proxy's traffic with which it picks the backend. Proxies with a quota pick
+    /// it more often than the planned share, because others have none.
     pub local_share: f64,
 }
 
-/// What the quotas of all backends have in common.
+/// Inputs of the slow-start quotas that are the same for all backends.
 pub(crate) struct SlowStartPlan<'a> {
     pub now: Time,
     pub config: &'a Config,
@@ -42,7 +45,7 @@
     pub peers: Peers,
     /// This proxy's number among them.
     pub replica_index: u64,
-    /// Number of backends that this proxy uses.
+    /// Number of backends that this proxy uses, with removed ones that have attempts in flight.
     pub backend_count: usize,
     /// Requests per second that this proxy admits, if known.
     pub own_rate: Option<f64>,
@@ -70,7 +73,8 @@
                 local_share: fair_share,
             };
         }
-        let mean_part = limit * LIMIT_MARGIN / self.peers.per_backend * half_by_zone(zone_factor);
+        let mean_part =
+            limit * DIVIDED_FRACTION / self.peers.per_backend * half_by_zone(zone_factor);
         self.divide(mean_part, self.rank(id), fair_share)
     }
 
@@ -141,7 +145,7 @@
 
 /// The factor on a capacity of which half goes by the zone's factor and half evenly.
 pub(super) fn half_by_zone(zone_factor: f64) -> f64 {
-    0.5 + 0.5 * zone_factor
+    EVEN_FRACTION + (1.0 - EVEN_FRACTION) * zone_factor
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/routing/slow_start_quotas/tests.rs
+++ b/crates/balancer/src/routing/slow_start_quotas/tests.rs
@@ -39,7 +39,10 @@
     let limit = 3.0 * warmup * 15.0 * 2.0;
     let quotas = (0..PROXIES).map(|index| quota(&config, index, &backend).work);
     let sum: f64 = quotas.sum();
-    assert!((sum - limit * LIMIT_MARGIN).abs() < 2.0, "{sum} of {limit}");
+    assert!(
+        (sum - limit * DIVIDED_FRACTION).abs() < 2.0,
+        "{sum} of {limit}"
+    );
 }
 
 #[test]
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -8,20 +8,24 @@
 use crate::subset::Replica;
 use crate::{BackendId, Config, Micros, Time};
 
-/// The remainders of the backends' concurrency limits pass from proxy to proxy this often, s: long
-/// beside any request.
+/// Seconds after which the rounding of the concurrency limits moves on to the next proxy: much
+/// longer than a request takes.
 const ROTATION_PERIOD: f64 = 5.0;
 /// Share of a backend by readiness alone: it takes the overflow where all that have a share are
 /// full.
 const OVERFLOW_SHARE: f64 = 1e-6;
+/// A proxy's rounding lies in the middle of its turn's interval.
+const MIDDLE_OF_TURN: f64 = 0.5;
 /// Smallest concurrency limit of a backend.
 const MIN_CONCURRENCY_LIMIT: f64 = 1.0;
 
-/// When the shares are computed, and how much of the traffic they can place.
+/// When the shares are next computed, and the fraction of the traffic that they can place.
 ///
-/// It owns both. The shares themselves are kept with the backends.
-pub(crate) struct TrafficShares {
-    /// The shares are computed this often.
+/// It owns both, and the time of the proxy's first event, from which slow-start quotas grow. The
+/// shares themselves are kept with the backends.
+pub(crate) struct ShareSchedule {
+    /// Shortest time between two regular computations. One is made at the first event after it; a
+    /// change of the endpoint list causes another at once.
     interval: Micros,
     /// When they were last computed.
     computed_at: Time,
@@ -31,13 +35,13 @@
     started_at: Option<Time>,
 }
 
-impl TrafficShares {
+impl ShareSchedule {
     /// Shares that were never computed.
-    pub fn new(config: &Config) -> TrafficShares {
+    pub fn new(config: &Config) -> ShareSchedule {
         // No response is known to be late before a latency objective is over: estimates change no
         // faster.
         let objectives = config.classes.iter().map(|class| class.latency_objective);
-        TrafficShares {
+        ShareSchedule {
             interval: objectives.min().unwrap_or_default(),
             computed_at: Time(0),
             placeable_fraction: 1.0,
@@ -50,7 +54,7 @@
         self.started_at.get_or_insert(now);
     }
 
-    /// How often the shares are computed.
+    /// Shortest time between two regular computations: the shortest latency objective.
     pub fn interval(&self) -> Micros {
         self.interval
     }
@@ -60,7 +64,8 @@
         now - self.computed_at >= self.interval
     }
 
-    /// Begins a computation; returns the time since the last one, s.
+    /// Begins a computation; returns the time since the last one, s. Before the first one, that is
+    /// the time since the origin of the host's clock.
     pub fn begin_computation(&mut self, now: Time) -> f64 {
         let elapsed = now - self.computed_at;
         self.computed_at = now;
@@ -74,7 +79,7 @@
 
     /// Whether an admitted request can be placed. Where backends in slow start are held to less
     /// than their shares, no other backend can take the rest; chance decides whose requests that
-    /// is.
+    /// is. If nothing can be placed at all, requests wait in the queue instead.
     pub fn can_place(&self, rng: &mut Rng) -> bool {
         self.placeable_fraction <= 0.0 || rng.unit() <= self.placeable_fraction
     }
@@ -88,7 +93,7 @@
     }
 }
 
-/// What the allocations of all backends have in common.
+/// Inputs of the allocations that are the same for all backends.
 pub(crate) struct SharePlan<'a> {
     /// This proxy's place among those that share each backend.
     pub replica: Replica,
@@ -135,6 +140,6 @@
         let Replica { index, count } = self.replica;
         let rotation = self.slow_start.now.0 / Micros::from_secs(ROTATION_PERIOD).0;
         let turn = id.0.wrapping_add(index).wrapping_add(rotation) % count;
-        (turn as f64 + 0.5) / count as f64
+        (turn as f64 + MIDDLE_OF_TURN) / count as f64
     }
 }
--- a/crates/balancer/src/wakeups.rs
+++ b/crates/balancer/src/wakeups.rs
@@ -8,14 +8,14 @@
 
 /// When something is next to be done without an event, and the pending timer.
 ///
-/// It owns both. Components tell it by when they want to be called; the host has one timer that
-/// counts, the newest.
+/// It owns both. The host may have several timers, of which only the newest counts.
 pub(crate) struct Wakeups {
     next_wakeup: Time,
     /// The token of the newest timer; timers with older tokens are ignored.
     newest_token: TimerToken,
-    /// When that timer expires, unless it has.
-    expires_at: Option<Time>,
+    /// The wake-up that the pending timer is for; `None` if no timer is pending. The timer may
+    /// expire up to a tick after it.
+    pending_wakeup: Option<Time>,
 }
 
 impl Wakeups {
@@ -24,7 +24,7 @@
         Wakeups {
             next_wakeup: Time(0),
             newest_token: TimerToken(0),
-            expires_at: None,
+            pending_wakeup: None,
         }
     }
 
@@ -37,7 +37,7 @@
     pub fn accept_timer(&mut self, token: TimerToken) -> bool {
         let is_newest = token == self.newest_token;
         if is_newest {
-            self.expires_at = None;
+            self.pending_wakeup = None;
         }
         is_newest
     }
@@ -51,15 +51,15 @@
         is_due
     }
 
-    /// The timer that the host is to set for the next wake-up; `None` if the pending one expires
-    /// soon enough. No timer is shorter than a tick.
-    pub fn timer_to_set(&mut self, now: Time, tick: Micros) -> Option<Action> {
-        let is_covered = self.expires_at.is_some_and(|at| at <= self.next_wakeup);
+    /// Sets a timer for the next wake-up and returns the action for the host. `None` if the pending
+    /// timer is early enough or no wake-up is scheduled. No timer is shorter than a tick.
+    pub fn arm_timer(&mut self, now: Time, tick: Micros) -> Option<Action> {
+        let is_covered = self.pending_wakeup.is_some_and(|at| at <= self.next_wakeup);
         if is_covered || self.next_wakeup == NEVER {
             return None;
         }
         self.newest_token = TimerToken(self.newest_token.0 + 1);
-        self.expires_at = Some(self.next_wakeup);
+        self.pending_wakeup = Some(self.next_wakeup);
         Some(Action::SetTimer {
             token: self.newest_token,
             after: (self.next_wakeup - now).max(tick),
--- a/crates/balancer/src/wakeups/tests.rs
+++ b/crates/balancer/src/wakeups/tests.rs
@@ -18,14 +18,14 @@
 #[test]
 fn a_timer_is_set_only_for_an_earlier_wake_up() {
     let mut wakeups = wakeups();
-    assert_eq!(wakeups.timer_to_set(START, TICK), None);
+    assert_eq!(wakeups.arm_timer(START, TICK), None);
     wakeups.wake_by(START + SECOND);
-    assert_eq!(wakeups.timer_to_set(START, TICK), Some(timer(1, SECOND)));
+    assert_eq!(wakeups.arm_timer(START, TICK), Some(timer(1, SECOND)));
     wakeups.wake_by(START + SECOND.times(2.0));
-    assert_eq!(wakeups.timer_to_set(START, TICK), None);
+    assert_eq!(wakeups.arm_timer(START, TICK), None);
     wakeups.wake_by(START + SECOND.times(0.5));
     assert_eq!(
-        wakeups.timer_to_set(START, TICK),
+        wakeups.arm_timer(START, TICK),
         Some(timer(2, SECOND.times(0.5)))
     );
 }
@@ -34,7 +34,7 @@
 fn no_timer_is_shorter_than_a_tick() {
     let mut wakeups = wakeups();
     wakeups.wake_by(START);
-    assert_eq!(wakeups.timer_to_set(START, TICK), Some(timer(1, TICK)));
+    assert_eq!(wakeups.arm_timer(START, TICK), Some(timer(1, TICK)));
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let mut wakeups = wakeups();
     for seconds in [2.0, 1.0] {
         wakeups.wake_by(START + SECOND.times(seconds));
-        wakeups.timer_to_set(START, TICK);
+        wakeups.arm_timer(START, TICK);
     }
     assert!(!wakeups.accept_timer(TimerToken(1)));
     assert!(wakeups.accept_timer(TimerToken(2)));
