--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -5,5 +5,5 @@
 mod tenant_quotas;
 mod token_bucket;
 
-pub(crate) use control::{prompt_latency, AdmissionControl};
-pub(crate) use priority::{RequestWeight, LOW_PRIORITY_CAPACITY_FRACTION};
+pub(crate) use control::{prompt_latency, AdmissionControl, Promptness};
+pub(crate) use priority::{Priority, RequestWeight, Timeliness, LOW_PRIORITY_CAPACITY_FRACTION};
--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -1,7 +1,7 @@
 //! Admission control: an overloaded fleet sheds the requests of least weight, to serve the rest in
 //! time.
 
-use super::priority::{RequestWeight, TrafficMix};
+use super::priority::{Priority, RequestWeight, Timeliness, TrafficMix};
 use super::tenant_quotas::TenantQuotas;
 use crate::estimation::{update_fraction, LatencyEstimates, RateEstimator, ASSUMED_RATE};
 use crate::peers::Peers;
@@ -27,6 +27,15 @@
 /// the effect of the change.
 const FULL_STEP_RATE: f64 = 10.0;
 
+/// Whether a response came so soon that the fleet is not overloaded; see [`PROMPT_FRACTION`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Promptness {
+    /// It came within the prompt latency.
+    Prompt,
+    /// It came later, or not in time at all.
+    Late,
+}
+
 /// The load that competes with a request for admission, in fractions of all traffic.
 struct CompetingLoad {
     /// Requests that are admitted before it.
@@ -76,7 +85,8 @@
         let class = &config.classes[arrival.class.0];
         let weight = RequestWeight::new(config, class, arrival, is_over_quota);
         self.mix.record_arrival(arrival.class);
-        update_fraction(&mut self.low_priority_fraction, weight.is_low_priority());
+        let is_low_priority = weight.priority() == Priority::Low;
+        update_fraction(&mut self.low_priority_fraction, is_low_priority);
         weight
     }
 
@@ -113,7 +123,7 @@
         latencies: &LatencyEstimates,
     ) -> CompetingLoad {
         let high_priority_fraction = 1.0 - self.low_priority_fraction;
-        if weight.is_low_priority() {
+        if weight.priority() == Priority::Low {
             return CompetingLoad {
                 more_important: high_priority_fraction,
                 own: self.low_priority_fraction,
@@ -135,7 +145,7 @@
     ///
     /// Many proxies cannot limit what a backend has in flight, as none sees what the others send.
     /// So each learns from its own responses that all of them together send too much.
-    pub fn adjust(&mut self, is_prompt: bool, peers: Peers) {
+    pub fn adjust(&mut self, promptness: Promptness, peers: Peers) {
         if peers.are_few() {
             // The concurrency limits of so few proxies bound the load well enough.
             return;
@@ -144,18 +154,17 @@
         let step = ADMISSION_STEP * (FULL_STEP_RATE / rate).min(1.0);
         // The step is taken per response, not per arrival. After most of the traffic was shed, few
         // responses come, and the slow rise lets the overloaded backends recover.
-        let change = if is_prompt {
-            1.0 + step
-        } else {
-            1.0 - STEPS_DOWN * step
+        let change = match promptness {
+            Promptness::Prompt => 1.0 + step,
+            Promptness::Late => 1.0 - STEPS_DOWN * step,
         };
         let fraction = self.admitted_fraction * change;
         self.admitted_fraction = fraction.clamp(MIN_ADMITTED_FRACTION, MAX_ADMITTED_FRACTION);
     }
 
-    /// Records that a request has had its final response, within its objective or not.
-    pub fn record_response(&mut self, class: ClassId, on_time: bool) {
-        self.mix.record_response(class, on_time);
+    /// Records that a request has had its final response.
+    pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
+        self.mix.record_response(class, timeliness);
     }
 
     /// The density of each class; see [`TrafficMix::densities`].
--- a/crates/balancer/src/admission/control/tests.rs
+++ b/crates/balancer/src/admission/control/tests.rs
@@ -31,7 +31,7 @@
 fn late_responses_shed_load_down_to_a_bound() {
     let mut control = control();
     for _ in 0..100 {
-        control.adjust(false, MANY);
+        control.adjust(Promptness::Late, MANY);
     }
     let admitted = admitted_of_1000(&mut control);
     assert!(
@@ -44,7 +44,13 @@
 fn one_late_response_in_four_sheds_nothing() {
     let mut control = control();
     for number in 0..100 {
-        control.adjust(number % 4 != 0, MANY);
+        let is_fourth = number % 4 == 0;
+        let promptness = if is_fourth {
+            Promptness::Late
+        } else {
+            Promptness::Prompt
+        };
+        control.adjust(promptness, MANY);
     }
     assert_eq!(admitted_of_1000(&mut control), 1_000);
 }
@@ -53,7 +59,7 @@
 fn few_proxies_shed_nothing() {
     let mut control = control();
     for _ in 0..100 {
-        control.adjust(false, FEW);
+        control.adjust(Promptness::Late, FEW);
     }
     assert_eq!(admitted_of_1000(&mut control), 1_000);
 }
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -15,6 +15,24 @@
 /// Classes that are served so little better than the worst count as the worst as well.
 const WORST_CLASS_MARGIN: f64 = 0.02;
 
+/// Whether part of the capacity is reserved for other requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Priority {
+    /// The request may take all of the capacity.
+    Normal,
+    /// The request may take [`LOW_PRIORITY_CAPACITY_FRACTION`] of it.
+    Low,
+}
+
+/// Whether a response came within its latency objective.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Timeliness {
+    /// It was a served request within its objective.
+    OnTime,
+    /// It was late, or the request was not served.
+    Missed,
+}
+
 /// The weight of a request, as a fraction of that of a first request within its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RequestWeight(f64);
@@ -48,14 +66,19 @@
         self.0
     }
 
-    /// Whether the weight is so low that part of the capacity is reserved for other requests.
-    pub fn is_low_priority(self) -> bool {
-        self.0 < LOW_PRIORITY_WEIGHT
+    /// The priority that follows from the weight.
+    pub fn priority(self) -> Priority {
+        if self.0 < LOW_PRIORITY_WEIGHT {
+            Priority::Low
+        } else {
+            Priority::Normal
+        }
     }
 
     /// The upper bound of the weights of low priority if this is one, else `None`.
     pub fn low_priority_limit(self) -> Option<f64> {
-        self.is_low_priority().then_some(LOW_PRIORITY_WEIGHT)
+        let is_low = self.priority() == Priority::Low;
+        is_low.then_some(LOW_PRIORITY_WEIGHT)
     }
 }
 
@@ -103,10 +126,10 @@
         }
     }
 
-    /// Records that a request has had its final response, within its objective or not.
-    pub fn record_response(&mut self, class: ClassId, on_time: bool) {
+    /// Records that a request has had its final response.
+    pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
         for (index, traffic) in self.classes.iter_mut().enumerate() {
-            let is_hit = on_time && index == class.0;
+            let is_hit = timeliness == Timeliness::OnTime && index == class.0;
             update_fraction(&mut traffic.on_time_share, is_hit);
         }
     }
--- a/crates/balancer/src/admission/priority/tests.rs
+++ b/crates/balancer/src/admission/priority/tests.rs
@@ -17,9 +17,12 @@
 fn mix_with_a_worst_class() -> TrafficMix {
     let mut mix = TrafficMix::new(2);
     for _ in 0..2_000 {
-        for class in [ClassId(0), ClassId(1)] {
+        for (class, timeliness) in [
+            (ClassId(0), Timeliness::Missed),
+            (ClassId(1), Timeliness::OnTime),
+        ] {
             mix.record_arrival(class);
-            mix.record_response(class, class == ClassId(1));
+            mix.record_response(class, timeliness);
         }
     }
     mix
--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -1,7 +1,7 @@
 //! What the balancer knows of one backend.
 
 use super::health::BackendHealth;
-use crate::admission::LOW_PRIORITY_CAPACITY_FRACTION;
+use crate::admission::{Priority, LOW_PRIORITY_CAPACITY_FRACTION};
 use crate::{BackendState, Endpoint, MachineTypeId, Micros, Time};
 
 /// Work that was sent to a backend at one time.
@@ -92,11 +92,10 @@
     }
 
     /// Whether it may have one more attempt in flight.
-    pub fn has_free_concurrency(&self, is_low_priority: bool) -> bool {
-        let limit = if is_low_priority {
-            (self.concurrency_limit * LOW_PRIORITY_CAPACITY_FRACTION).ceil()
-        } else {
-            self.concurrency_limit
+    pub fn has_free_concurrency(&self, priority: Priority) -> bool {
+        let limit = match priority {
+            Priority::Normal => self.concurrency_limit,
+            Priority::Low => (self.concurrency_limit * LOW_PRIORITY_CAPACITY_FRACTION).ceil(),
         };
         f64::from(self.in_flight) < limit
     }
--- a/crates/balancer/src/backends/backend/tests.rs
+++ b/crates/balancer/src/backends/backend/tests.rs
@@ -18,13 +18,19 @@
 fn half_of_the_concurrency_is_reserved_from_low_priority() {
     let mut backend = backend_with(3.0, f64::INFINITY);
     for (in_flight, low_priority_allowed) in [(0, true), (1, true), (2, false)] {
-        assert!(backend.has_free_concurrency(false), "{in_flight}");
-        assert_eq!(backend.has_free_concurrency(true), low_priority_allowed);
+        assert!(
+            backend.has_free_concurrency(Priority::Normal),
+            "{in_flight}"
+        );
+        assert_eq!(
+            backend.has_free_concurrency(Priority::Low),
+            low_priority_allowed
+        );
         backend.record_dispatch(START, 1.0, SECOND);
     }
-    assert!(!backend.has_free_concurrency(false));
+    assert!(!backend.has_free_concurrency(Priority::Normal));
     backend.record_attempt_end();
-    assert!(backend.has_free_concurrency(false));
+    assert!(backend.has_free_concurrency(Priority::Normal));
 }
 
 #[test]
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -9,7 +9,7 @@
 mod dispatch;
 mod periodic;
 
-use crate::admission::{prompt_latency, AdmissionControl};
+use crate::admission::{prompt_latency, AdmissionControl, Promptness, Timeliness};
 use crate::backends::{BackendTable, OutlierDetector};
 use crate::discovery_watch::DiscoveryWatch;
 use crate::estimation::{LatencyEstimates, RATE_MEMORY};
@@ -229,9 +229,13 @@
             return;
         };
         let is_success = end.outcome == Outcome::Success;
-        let is_on_time = is_success && now <= request.objective_at;
+        let timeliness = if is_success && now <= request.objective_at {
+            Timeliness::OnTime
+        } else {
+            Timeliness::Missed
+        };
         if end.settled || is_success {
-            self.close_answered_request(end.request, is_on_time);
+            self.close_answered_request(end.request, timeliness);
         } else if !request.is_in_flight() && !self.queue.contains(end.request) {
             // `send_queued` sends it again or gives it up.
             self.queue.push(end.request);
@@ -260,8 +264,12 @@
         }
         let baseline = self.backends.baseline_latency(attempt.backend);
         let prompt_latency = prompt_latency(&self.latencies, baseline, attempt.class);
-        let is_prompt = is_success && end.latency < prompt_latency;
-        self.admission.adjust(is_prompt, self.peers());
+        let promptness = if is_success && end.latency < prompt_latency {
+            Promptness::Prompt
+        } else {
+            Promptness::Late
+        };
+        self.admission.adjust(promptness, self.peers());
     }
 
     /// Lets outlier detection and the estimates learn from the outcome of an attempt.
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -1,7 +1,7 @@
 //! From a waiting request to its attempts and its final response.
 
 use super::Balancer;
-use crate::admission::prompt_latency;
+use crate::admission::{prompt_latency, Timeliness};
 use crate::requests::{QueuedRequest, Request};
 use crate::retry::RetryPolicy;
 use crate::routing::Picker;
@@ -72,12 +72,11 @@
         };
         let has_budget = !request.needs_retry_budget() || self.retry_budget.is_available();
         let retry_policy = RetryPolicy::new(&self.config, request);
-        if !has_budget || !retry_policy.allows_attempt(now, request) {
+        if !has_budget || !retry_policy.allows_attempt(now) {
             return DispatchDecision::NotAllowed;
         }
         let in_flight = self.count_in_flight();
-        let is_low_priority = request.weight.is_low_priority();
-        if !self.concurrency.allow(in_flight, is_low_priority) {
+        if !self.concurrency.allow(in_flight, request.weight.priority()) {
             return DispatchDecision::NoCapacity;
         }
         let picker = Picker::new(
@@ -133,7 +132,7 @@
         };
         let retry_policy = RetryPolicy::new(&self.config, request);
         if self.config.hedging_allowed {
-            if retry_policy.allows_attempt(now, request) && !self.queue.contains(id) {
+            if retry_policy.allows_attempt(now) && !self.queue.contains(id) {
                 self.queue.push(id);
             }
         } else if retry_policy.allows_replacement() {
@@ -150,19 +149,19 @@
             return;
         };
         let retry_policy = RetryPolicy::new(&self.config, request);
-        let response = if retry_policy.is_client_retry_safe(request) {
+        let response = if retry_policy.is_client_retry_safe() {
             Action::Reject { request: id }
         } else {
             Action::Fail { request: id }
         };
         self.outbox.push(response);
-        self.close_answered_request(id, false);
+        self.close_answered_request(id, Timeliness::Missed);
     }
 
-    /// Closes a request that has its final response, within its objective or not.
-    pub(super) fn close_answered_request(&mut self, id: RequestId, is_on_time: bool) {
+    /// Closes a request that has its final response.
+    pub(super) fn close_answered_request(&mut self, id: RequestId, timeliness: Timeliness) {
         if let Some(request) = self.requests.get(id) {
-            self.admission.record_response(request.class, is_on_time);
+            self.admission.record_response(request.class, timeliness);
         }
         self.close_request(id);
     }
@@ -194,6 +193,6 @@
     /// closed, has no idempotency key, or no earlier attempt may have run.
     pub fn send_by(&self, request: RequestId) -> Option<Time> {
         let request = self.requests.get(request)?;
-        RetryPolicy::new(&self.config, request).send_by(request)
+        RetryPolicy::new(&self.config, request).send_by()
     }
 }
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -2,7 +2,7 @@
 //! polls of discovery, and the checks of attempts and requests.
 
 use super::Balancer;
-use crate::admission::prompt_latency;
+use crate::admission::{prompt_latency, Promptness};
 use crate::backends::Backend;
 use crate::estimation::ASSUMED_LATENCY;
 use crate::requests::Request;
@@ -40,18 +40,21 @@
 
     /// Sets each backend's part of the traffic and its limits.
     fn allocate_shares(&mut self, now: Time, own_rate: Option<f64>) {
+        let peers = self.peers();
         let replica = self.subset.replica(&self.config);
         let window = self.config.overload_window;
         let slow_start = SlowStartPlan {
             now,
             config: &self.config,
-            peers: self.peers(),
+            peers,
             replica_index: replica.index,
             backend_count: self.backends.len(),
             own_rate,
             window_fraction: self.shares.window_fraction(now, window),
         };
         let plan = SharePlan {
+            now,
+            peers,
             replica,
             zone_factors: ZoneFactors::new(&self.config, &self.backends),
             slow_start,
@@ -89,7 +92,7 @@
             let late_at = attempt.sent_at + prompt_latency;
             if !attempt.counted_late && now >= late_at {
                 attempt.counted_late = true;
-                self.admission.adjust(false, peers);
+                self.admission.adjust(Promptness::Late, peers);
             }
             if !attempt.counted_late {
                 self.wakeups.wake_by(late_at);
--- a/crates/balancer/src/requests/queue/tests.rs
+++ b/crates/balancer/src/requests/queue/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::admission::Priority;
 use crate::requests::Attempt;
 use crate::test_fixtures::*;
 
@@ -12,7 +13,7 @@
     let (is_retry, is_over_quota) = LOW_PRIORITY;
     let mut request = request(START);
     request.weight = weight(is_retry, is_over_quota);
-    assert!(request.weight.is_low_priority());
+    assert_eq!(request.weight.priority(), Priority::Low);
     request
 }
 
--- a/crates/balancer/src/retry/policy.rs
+++ b/crates/balancer/src/retry/policy.rs
@@ -7,24 +7,26 @@
 /// the configuration and the idempotency of the request's class.
 pub(crate) struct RetryPolicy<'a> {
     config: &'a Config,
+    request: &'a Request,
     idempotency: Idempotency,
 }
 
 impl<'a> RetryPolicy<'a> {
     /// The rules for a request.
-    pub fn new(config: &'a Config, request: &Request) -> RetryPolicy<'a> {
+    pub fn new(config: &'a Config, request: &'a Request) -> RetryPolicy<'a> {
         let class: &Class = &config.classes[request.class.0];
         RetryPolicy {
             config,
+            request,
             idempotency: class.idempotency,
         }
     }
 
     /// Whether one more attempt is safe and allowed now, wherever it goes.
-    pub fn allows_attempt(&self, now: Time, request: &Request) -> bool {
-        let may_run_beside = self.config.hedging_allowed || !request.is_in_flight();
-        let attempts_left = request.attempts.len() < self.config.max_attempts as usize;
-        let mut attempts = request.attempts.iter();
+    pub fn allows_attempt(&self, now: Time) -> bool {
+        let may_run_beside = self.config.hedging_allowed || !self.request.is_in_flight();
+        let attempts_left = self.request.attempts.len() < self.config.max_attempts as usize;
+        let mut attempts = self.request.attempts.iter();
         may_run_beside
             && attempts_left
             && attempts.all(|attempt| attempt.not_executed || self.is_repeatable(now, attempt))
@@ -45,8 +47,8 @@
     /// Whether a further attempt may go to this backend: to none that had one already, and, if an
     /// earlier attempt may have run, only to one that knows the idempotency keys of that attempt's
     /// backend. A retry with an idempotency key would be executed twice elsewhere.
-    pub fn allows_backend(&self, request: &Request, endpoint: &Endpoint) -> bool {
-        let mut attempts = request.attempts.iter();
+    pub fn allows_backend(&self, endpoint: &Endpoint) -> bool {
+        let mut attempts = self.request.attempts.iter();
         attempts.all(|attempt| {
             let is_other_backend = attempt.endpoint.id != endpoint.id;
             is_other_backend
@@ -67,23 +69,23 @@
     /// Until when the newest attempt may begin to be sent. Backends remember an idempotency key for
     /// a while only, counted from the first attempt that may have run, and connecting can take
     /// long.
-    pub fn send_by(&self, request: &Request) -> Option<Time> {
+    pub fn send_by(&self) -> Option<Time> {
         let Idempotency::IdempotencyKey { window, .. } = self.idempotency else {
             return None;
         };
-        let (_, earlier) = request.attempts.split_last()?;
+        let (_, earlier) = self.request.attempts.split_last()?;
         let may_have_run = earlier.iter().filter(|attempt| !attempt.not_executed);
         may_have_run.map(|attempt| attempt.sent_at + window).min()
     }
 
     /// Whether a client that is told that its request was rejected may safely send it again.
-    pub fn is_client_retry_safe(&self, request: &Request) -> bool {
+    pub fn is_client_retry_safe(&self) -> bool {
         let is_repeatable_anywhere = match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey { scope, .. } => scope == KeyScope::All,
             Idempotency::NonIdempotent => false,
         };
-        let mut attempts = request.attempts.iter();
+        let mut attempts = self.request.attempts.iter();
         is_repeatable_anywhere || attempts.all(|attempt| attempt.not_executed)
     }
 
--- a/crates/balancer/src/retry/policy/tests.rs
+++ b/crates/balancer/src/retry/policy/tests.rs
@@ -22,12 +22,13 @@
     let config = config(Idempotency::NonIdempotent);
     let mut request = tried_request(START, &[1]);
     let policy = RetryPolicy::new(&config, &request);
-    assert!(!policy.allows_attempt(START, &request));
-    assert!(!policy.is_client_retry_safe(&request));
+    assert!(!policy.allows_attempt(START));
+    assert!(!policy.is_client_retry_safe());
     assert!(!policy.allows_replacement());
     request.attempts[0].not_executed = true;
-    assert!(policy.allows_attempt(START, &request));
-    assert!(policy.is_client_retry_safe(&request));
+    let policy = RetryPolicy::new(&config, &request);
+    assert!(policy.allows_attempt(START));
+    assert!(policy.is_client_retry_safe());
 }
 
 #[test]
@@ -37,8 +38,8 @@
     let policy = RetryPolicy::new(&config, &request);
     let window_end = START + WINDOW;
     let last_tick = Time(window_end.0 - config.tick.0);
-    assert!(policy.allows_attempt(Time(last_tick.0 - 1), &request));
-    assert!(!policy.allows_attempt(last_tick, &request));
+    assert!(policy.allows_attempt(Time(last_tick.0 - 1)));
+    assert!(!policy.allows_attempt(last_tick));
 }
 
 #[test]
@@ -47,9 +48,10 @@
     let mut request = tried_request(START, &[1, 2]);
     request.attempts[1].sent_at = START + SECOND;
     let policy = RetryPolicy::new(&config, &request);
-    assert_eq!(policy.send_by(&request), Some(START + WINDOW));
+    assert_eq!(policy.send_by(), Some(START + WINDOW));
     request.attempts[0].not_executed = true;
-    assert_eq!(policy.send_by(&request), None);
+    let policy = RetryPolicy::new(&config, &request);
+    assert_eq!(policy.send_by(), None);
 }
 
 #[test]
@@ -71,14 +73,11 @@
     ] {
         let config = with_key(scope);
         let policy = RetryPolicy::new(&config, &request);
-        assert!(policy.allows_backend(&request, &same));
-        assert!(!policy.allows_backend(&request, &endpoint(1)), "tried");
-        assert_eq!(policy.allows_backend(&request, &other_cell), cell_allowed);
-        assert_eq!(policy.allows_backend(&request, &other_zone), zone_allowed);
-        assert_eq!(
-            policy.is_client_retry_safe(&request),
-            scope == KeyScope::All
-        );
+        assert!(policy.allows_backend(&same));
+        assert!(!policy.allows_backend(&endpoint(1)), "tried");
+        assert_eq!(policy.allows_backend(&other_cell), cell_allowed);
+        assert_eq!(policy.allows_backend(&other_zone), zone_allowed);
+        assert_eq!(policy.is_client_retry_safe(), scope == KeyScope::All);
     }
 }
 
@@ -86,11 +85,11 @@
 fn attempts_are_limited_in_number_and_beside_each_other() {
     let mut config = config(Idempotency::Idempotent);
     let mut request = tried_request(START, &[1, 2]);
-    assert!(RetryPolicy::new(&config, &request).allows_attempt(START, &request));
+    assert!(RetryPolicy::new(&config, &request).allows_attempt(START));
     request.attempts[1].in_flight = true;
-    assert!(RetryPolicy::new(&config, &request).allows_attempt(START, &request));
+    assert!(RetryPolicy::new(&config, &request).allows_attempt(START));
     config.hedging_allowed = false;
-    assert!(!RetryPolicy::new(&config, &request).allows_attempt(START, &request));
+    assert!(!RetryPolicy::new(&config, &request).allows_attempt(START));
     let exhausted = tried_request(START, &[1, 2, 3]);
-    assert!(!RetryPolicy::new(&config, &exhausted).allows_attempt(START, &exhausted));
+    assert!(!RetryPolicy::new(&config, &exhausted).allows_attempt(START));
 }
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -1,6 +1,6 @@
 //! The limits on what this proxy has in flight on all backends together.
 
-use crate::admission::LOW_PRIORITY_CAPACITY_FRACTION;
+use crate::admission::{Priority, LOW_PRIORITY_CAPACITY_FRACTION};
 use crate::backends::{Backend, BackendTable};
 use crate::estimation::TimeWeightedMean;
 use crate::peers::Peers;
@@ -55,11 +55,10 @@
     }
 
     /// Whether one more attempt may be sent while `in_flight` count.
-    pub fn allow(&self, in_flight: f64, is_low_priority: bool) -> bool {
-        let limit = if is_low_priority {
-            self.momentary * LOW_PRIORITY_CAPACITY_FRACTION
-        } else {
-            self.momentary
+    pub fn allow(&self, in_flight: f64, priority: Priority) -> bool {
+        let limit = match priority {
+            Priority::Normal => self.momentary,
+            Priority::Low => self.momentary * LOW_PRIORITY_CAPACITY_FRACTION,
         };
         let is_high_for_long = self.recent.value > self.sustained && in_flight >= self.sustained;
         in_flight < limit && !is_high_for_long
--- a/crates/balancer/src/routing/concurrency_limits/tests.rs
+++ b/crates/balancer/src/routing/concurrency_limits/tests.rs
@@ -12,10 +12,10 @@
 fn the_momentary_limit_allows_for_chance() {
     // 16 + 1.5 x 4 + 1 = 23, of which low priority may take half.
     let limits = limits();
-    assert!(limits.allow(22.0, false));
-    assert!(!limits.allow(23.0, false));
-    assert!(limits.allow(11.0, true));
-    assert!(!limits.allow(12.0, true));
+    assert!(limits.allow(22.0, Priority::Normal));
+    assert!(!limits.allow(23.0, Priority::Normal));
+    assert!(limits.allow(11.0, Priority::Low));
+    assert!(!limits.allow(12.0, Priority::Low));
 }
 
 #[test]
@@ -24,14 +24,14 @@
     // A part of 4 attempts: at most 4 + 1.5 x 2 + 1 = 8 for a moment, 6 for longer.
     limits.update(4.0, Peers { per_backend: 4.1 });
     let part = 4.0 / 4.1 * 4.0;
-    assert!(limits.allow(part * SUSTAINED_FACTOR, false));
+    assert!(limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
     limits.record_in_flight(START, 7.0);
     limits.record_in_flight(START + SECOND.times(10.0), 7.0);
-    assert!(!limits.allow(part * SUSTAINED_FACTOR, false));
-    assert!(limits.allow(5.0, false));
+    assert!(!limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
+    assert!(limits.allow(5.0, Priority::Normal));
 }
 
 #[test]
 fn nothing_is_allowed_before_the_first_update() {
-    assert!(!ConcurrencyLimits::new().allow(0.0, false));
+    assert!(!ConcurrencyLimits::new().allow(0.0, Priority::Normal));
 }
--- a/crates/balancer/src/routing/picker.rs
+++ b/crates/balancer/src/routing/picker.rs
@@ -95,15 +95,13 @@
     /// Whether the backend may be sent this request and has capacity for it. An overloaded backend
     /// stays slow for long, so one that is full is never given more.
     fn is_available(&self, backend: &Backend) -> bool {
-        let is_low_priority = self.request.weight.is_low_priority();
+        let priority = self.request.weight.priority();
         let window = self.config.overload_window;
         backend.is_usable()
-            && backend.has_free_concurrency(is_low_priority)
+            && backend.has_free_concurrency(priority)
             && backend.is_listed_as_ready()
             && self.is_listing_trusted(backend)
-            && self
-                .retry_policy
-                .allows_backend(self.request, backend.endpoint())
+            && self.retry_policy.allows_backend(backend.endpoint())
             && backend.is_within_slow_start_quota(self.now, window, self.work)
     }
 
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -4,6 +4,7 @@
 use super::slow_start_quotas::{half_by_zone, SlowStartPlan};
 use super::zone_affinity::ZoneFactors;
 use crate::backends::{Allocation, Backend, MachineType};
+use crate::peers::Peers;
 use crate::random::Rng;
 use crate::subset::Replica;
 use crate::{BackendId, Config, Micros, Time};
@@ -95,7 +96,10 @@
 
 /// Inputs of the allocations that are the same for all backends.
 pub(crate) struct SharePlan<'a> {
-    /// This proxy's place among those that share each backend.
+    pub now: Time,
+    /// The proxies that share each backend.
+    pub peers: Peers,
+    /// This proxy's place among them.
     pub replica: Replica,
     /// The factors on the shares of each zone.
     pub zone_factors: ZoneFactors,
@@ -128,7 +132,7 @@
     /// zone's factor, half evenly. With many proxies, the part of each is below one attempt. Taking
     /// turns keeps the sum at the target, where one attempt each would overload all backends.
     fn concurrency_limit(&self, id: BackendId, readiness: f64, zone_factor: f64) -> f64 {
-        let own_part = self.slow_start.peers.own_concurrency(readiness);
+        let own_part = self.peers.own_concurrency(readiness);
         let part = own_part * half_by_zone(zone_factor);
         let limit = (part + self.rounding(id)).floor();
         limit.max(MIN_CONCURRENCY_LIMIT)
@@ -138,7 +142,7 @@
     /// evenly spread, and it passes from proxy to proxy with time.
     fn rounding(&self, id: BackendId) -> f64 {
         let Replica { index, count } = self.replica;
-        let rotation = self.slow_start.now.0 / Micros::from_secs(ROTATION_PERIOD).0;
+        let rotation = self.now.0 / Micros::from_secs(ROTATION_PERIOD).0;
         let turn = id.0.wrapping_add(index).wrapping_add(rotation) % count;
         (turn as f64 + MIDDLE_OF_TURN) / count as f64
     }
