--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,36 +1,34 @@
 //! Deterministic subsetting: which backends of a large endpoint list this proxy uses.
 //!
-//! If all proxies of a large fleet used all backends, each would meet a backend every few minutes:
-//! without an open connection, a known speed or repeated errors to notice. So each proxy uses one
-//! subset of the list.
+//! If every proxy of a large fleet used every backend, a proxy would send a request to the same
+//! backend only every few minutes. It would have no open connection to most backends, would not
+//! know their speed, and would not notice repeated errors. So each proxy uses one subset of the
+//! list.
 //!
-//! Proxies with consecutive indexes form a round: each uses another subset of one division of the
-//! list, and the next round divides the list anew. So every backend is used by one proxy of each
-//! round, except perhaps the last, incomplete one. A division follows a hash of the backend ids: a
-//! backend that joins or leaves moves the bounds of the subsets by at most one position, and only
-//! in its own zone and kind.
+//! Proxies with consecutive indexes form a round. The proxies of a round divide the list among
+//! themselves, and the next round divides it in another order. So every backend is used by one
+//! proxy of each round; the last round may be incomplete. The order of a division follows from a
+//! hash of the backend ids. When a backend joins or leaves, the bounds of the subsets move by one
+//! position at most, and only in the backend's zone and machine type.
+//!
+//! - `subset_count` decides how many subsets there are,
+//! - `groups` keeps the backends in the order in which they are divided.
 
-use crate::*;
-use std::collections::BTreeMap;
+mod groups;
+mod subset_count;
 
-/// Fewest backends in a subset: at about ten requests a second a proxy meets each every half
-/// minute, enough remain without a rack or a tenth that fails, and all zones and kinds of a large
-/// fleet are in it.
-const MIN_SUBSET_SIZE: f64 = 240.0;
-/// Fewest proxies for each backend: with fewer, the differences of their traffic would show in its
-/// load.
-const MIN_PROXIES_PER_BACKEND: u32 = 8;
-/// The number of subsets stays for this time while their size is within [`SIZE_TOLERANCE`]: a fleet
-/// near a limit would otherwise alternate between two numbers and replace all connections each
-/// time. A longer time would let proxies that started at different times use different numbers for
-/// longer.
-const MIN_RESHARD_INTERVAL: Micros = Micros(300_000_000);
-/// Factor by which the size of the subsets may leave its range during that time.
-const SIZE_TOLERANCE: f64 = 1.25;
+use crate::config::Config;
+use crate::endpoint::{BackendState, Endpoint, EndpointUpdate};
+use crate::ids::BackendId;
+use crate::time::Time;
+use groups::{requires_whole_cells, Division, EndpointGroups, RingPosition};
+use std::collections::BTreeMap;
+use subset_count::SubsetCount;
 
-/// An update of the endpoints that this proxy uses, of the given kind.
+/// An update of the endpoints that this proxy uses.
 #[derive(Debug, PartialEq)]
 pub(crate) struct SubsetUpdate {
+    /// How `endpoints` relate to the endpoints used so far.
     pub update: EndpointUpdate,
     pub endpoints: Vec<Endpoint>,
 }
@@ -42,44 +40,37 @@
     pub count: u64,
 }
 
-/// Backends that are divided together: each subset gets its part of every zone and kind. Where
-/// cells have to stay together, the kind is the default one for all.
-type GroupKey = (ZoneId, MachineTypeId);
-
-/// A backend's position in its group: by hash, then by id.
-type RingPosition = (u64, BackendId);
-
-/// The endpoint list and this proxy's subset of it.
+/// The complete endpoint list and this proxy's subset of it.
+///
+/// It owns the list and the order in which the list is divided. It takes the configuration, which
+/// must be the same for each call, the updates of the list and the time as arguments.
 pub(crate) struct Subset {
-    /// Number of subsets that the list is divided into; 1 while it is small.
-    subset_count: u32,
-    /// When that number last changed.
-    resharded_at: Time,
+    subset_count: SubsetCount,
     /// The complete list.
     endpoints: BTreeMap<BackendId, Endpoint>,
-    /// The backends of each group, sorted.
-    groups: BTreeMap<GroupKey, Vec<RingPosition>>,
+    /// The backends of the list, in the order of this proxy's round.
+    groups: EndpointGroups,
 }
 
 impl Subset {
     pub fn new() -> Subset {
         Subset {
-            subset_count: 1,
-            resharded_at: Time(0),
+            subset_count: SubsetCount::new(),
             endpoints: BTreeMap::new(),
-            groups: BTreeMap::new(),
+            groups: EndpointGroups::default(),
         }
     }
 
     /// How many proxies use each of this proxy's backends on average, this proxy included.
-    pub fn proxies_per_backend(&self, cfg: &Config) -> f64 {
-        f64::from(cfg.proxy_count) / f64::from(self.subset_count)
+    pub fn proxies_per_backend(&self, config: &Config) -> f64 {
+        f64::from(config.proxy_count) / f64::from(self.subset_count.get())
     }
 
     /// This proxy's place among those that use the same backends.
-    pub fn replica(&self, cfg: &Config) -> Replica {
-        let index = u64::from(cfg.proxy_index / self.subset_count);
-        let count = u64::from(cfg.proxy_count.div_ceil(self.subset_count));
+    pub fn replica(&self, config: &Config) -> Replica {
+        let subset_count = self.subset_count.get();
+        let index = u64::from(config.proxy_index / subset_count);
+        let count = u64::from(config.proxy_count.div_ceil(subset_count));
         Replica { index, count }
     }
 
@@ -87,172 +78,148 @@
     pub fn apply(
         &mut self,
         now: Time,
-        cfg: &Config,
+        config: &Config,
         update: EndpointUpdate,
         list: Vec<Endpoint>,
     ) -> SubsetUpdate {
-        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-            self.endpoints = list.iter().map(|entry| (entry.id, entry.clone())).collect();
-            self.rebuild_groups(cfg);
-        } else {
-            list.iter().for_each(|entry| self.apply_change(cfg, entry));
+        let was_divided = self.is_divided();
+        match update {
+            EndpointUpdate::Snapshot | EndpointUpdate::Cached => self.replace_list(config, &list),
+            EndpointUpdate::Delta | EndpointUpdate::WatchFailed | EndpointUpdate::WatchTimedOut => {
+                self.change_list(config, &list);
+            }
         }
-        let count_before = self.subset_count;
-        self.subset_count = self.best_subset_count(now, cfg);
-        if self.subset_count != count_before {
-            self.resharded_at = now;
-            self.rebuild_groups(cfg);
+        let backends_to_divide = self.backends_to_divide(config);
+        let has_changed = self
+            .subset_count
+            .update(now, backends_to_divide, config.proxy_count);
+        if has_changed {
+            self.rebuild_groups(config);
         }
-        if self.subset_count == 1 && count_before == 1 {
+        if !was_divided && !self.is_divided() {
             return SubsetUpdate {
                 update,
                 endpoints: list,
             };
         }
-        // A backend that is no longer in the subset counts as removed: only a complete list
-        // expresses that.
+        // A backend that has left the subset counts as removed, and only a complete list says so.
         let update = if update == EndpointUpdate::Cached {
-            update
+            EndpointUpdate::Cached
         } else {
             EndpointUpdate::Snapshot
         };
         SubsetUpdate {
             update,
-            endpoints: self.members(cfg),
+            endpoints: self.members(config),
         }
     }
 
-    fn apply_change(&mut self, cfg: &Config, entry: &Endpoint) {
-        if let Some(old) = self.endpoints.remove(&entry.id) {
-            let position = self.ring_position(cfg, &old);
-            if let Some(group) = self.groups.get_mut(&group_key(cfg, &old)) {
-                group.retain(|other| *other != position);
-            }
-        }
-        if entry.state != BackendState::Removed {
-            let position = self.ring_position(cfg, entry);
-            let group = self.groups.entry(group_key(cfg, entry)).or_default();
-            group.insert(group.partition_point(|other| *other < position), position);
-            self.endpoints.insert(entry.id, entry.clone());
+    /// Whether the list is divided at all: otherwise each proxy uses the complete list.
+    fn is_divided(&self) -> bool {
+        self.subset_count.get() > 1
+    }
+
+    fn replace_list(&mut self, config: &Config, list: &[Endpoint]) {
+        self.endpoints.clear();
+        for endpoint in list {
+            self.endpoints.insert(endpoint.id, endpoint.clone());
         }
+        self.rebuild_groups(config);
     }
 
-    fn rebuild_groups(&mut self, cfg: &Config) {
-        let mut groups: BTreeMap<GroupKey, Vec<RingPosition>> = BTreeMap::new();
-        for entry in self.endpoints.values() {
-            groups
-                .entry(group_key(cfg, entry))
-                .or_default()
-                .push(self.ring_position(cfg, entry));
+    fn change_list(&mut self, config: &Config, changed: &[Endpoint]) {
+        let division = self.division(config);
+        for endpoint in changed {
+            if let Some(previous) = self.endpoints.remove(&endpoint.id) {
+                self.groups.remove(division, &previous);
+            }
+            if endpoint.state != BackendState::Removed {
+                self.groups.insert(division, endpoint);
+                self.endpoints.insert(endpoint.id, endpoint.clone());
+            }
         }
-        groups.values_mut().for_each(|group| group.sort_unstable());
-        self.groups = groups;
     }
 
-    /// A backend's position in the division of this proxy's round.
-    fn ring_position(&self, cfg: &Config, entry: &Endpoint) -> RingPosition {
-        let unit = if keeps_cells_together(cfg) {
-            entry.cell.0
-        } else {
-            entry.id.0
-        };
-        let round = cfg.proxy_index / self.round_size(cfg);
-        (mix(unit ^ mix(u64::from(round))), entry.id)
+    fn rebuild_groups(&mut self, config: &Config) {
+        let division = self.division(config);
+        self.groups = EndpointGroups::new(division, self.endpoints.values());
     }
 
-    /// Number of proxies in a round. Where traffic prefers its own zone, those of each zone use
-    /// each subset once in a round, whether their indexes are consecutive or `zone_count` apart.
-    fn round_size(&self, cfg: &Config) -> u32 {
-        self.subset_count * zone_stride(cfg)
+    /// How this proxy's round divides the list.
+    fn division(&self, config: &Config) -> Division {
+        Division {
+            round: config.proxy_index / self.round_size(config),
+            keeps_cells_together: requires_whole_cells(config),
+        }
     }
 
-    /// The number of subsets for the current list: a power of two, the same for all proxies.
-    fn best_subset_count(&self, now: Time, cfg: &Config) -> u32 {
-        // Where traffic prefers its own zone, a proxy uses the backends of that zone.
-        let in_own_zone = self
-            .groups
-            .iter()
-            .filter(|((zone, _), _)| *zone == cfg.zone);
-        let own_count = in_own_zone.map(|(_, group)| group.len()).sum();
-        let prefers_own = zone_stride(cfg) > 1 && own_count > 0;
-        let backend_count = if prefers_own {
-            own_count
-        } else {
-            self.endpoints.len()
-        } as f64;
+    /// Number of proxies in a round. Where traffic prefers its own zone, a round has
+    /// `zone_count` proxies for each subset: then the proxies of each zone use all subsets equally
+    /// often, whether their indexes are consecutive or `zone_count` apart.
+    fn round_size(&self, config: &Config) -> u32 {
+        self.subset_count.get() * zone_stride(config)
+    }
 
-        let tolerated = MIN_SUBSET_SIZE / SIZE_TOLERANCE..MIN_SUBSET_SIZE * 2.0 * SIZE_TOLERANCE;
-        let is_tolerated = tolerated.contains(&(backend_count / f64::from(self.subset_count)));
-        if self.subset_count > 1 && is_tolerated && now - self.resharded_at < MIN_RESHARD_INTERVAL {
-            return self.subset_count;
+    /// How many backends count for the number of subsets. Where traffic prefers the own zone, only
+    /// the backends of that zone count, if there are any. Elsewhere all backends count.
+    fn backends_to_divide(&self, config: &Config) -> usize {
+        let in_own_zone = self.groups.count_in_zone(config.zone);
+        let prefers_own_zone = zone_stride(config) > 1;
+        if prefers_own_zone && in_own_zone > 0 {
+            return in_own_zone;
         }
-        let has_proxies = |count: u32| count * MIN_PROXIES_PER_BACKEND <= cfg.proxy_count;
-        let has_backends = |count: u32| backend_count / f64::from(count) >= MIN_SUBSET_SIZE;
-        let mut subset_count = 1;
-        while has_proxies(subset_count * 2) && has_backends(subset_count * 2) {
-            subset_count *= 2;
-        }
-        subset_count
+        self.endpoints.len()
     }
 
     /// The endpoints of this proxy's subset.
-    fn members(&self, cfg: &Config) -> Vec<Endpoint> {
-        let subset_count = self.subset_count as usize;
-        let index_in_round = (cfg.proxy_index % self.round_size(cfg)) as usize;
-        let stride = zone_stride(cfg) as usize;
-        let subset_index = index_in_round / stride + index_in_round % stride;
+    fn members(&self, config: &Config) -> Vec<Endpoint> {
+        let subset_count = self.subset_count.get() as usize;
+        let subset_index = self.subset_index(config);
         let mut members = Vec::new();
-        for ((zone, kind), group) in &self.groups {
-            // Shifted by group: otherwise all small groups would be missing from the same subsets.
-            let shift = mix(zone.0 ^ mix(kind.0)) as usize % subset_count;
-            let own = (subset_index + shift) % subset_count;
-            // The first subsets have one backend more. When a backend leaves, one of them loses its
-            // surplus, and no other subset changes at both of its bounds.
-            let size = group.len() / subset_count;
-            let surplus = group.len() % subset_count;
-            let start = |index: usize| index * size + index.min(surplus);
-            let own_ids = group[start(own)..start(own + 1)].iter().map(|(_, id)| id);
-            members.extend(own_ids.filter_map(|id| self.endpoints.get(id)).cloned());
+        for (key, group) in self.groups.iter() {
+            // Without the shift, all groups would give their surplus to the same subsets, and all
+            // small groups would be missing from the same subsets.
+            let own_index = (subset_index + key.index_shift(subset_count)) % subset_count;
+            for position in part_of_group(group, own_index, subset_count) {
+                if let Some(endpoint) = self.endpoints.get(&position.id) {
+                    members.push(endpoint.clone());
+                }
+            }
         }
         members
     }
+
+    /// The index of this proxy's subset in a group that is not shifted.
+    fn subset_index(&self, config: &Config) -> usize {
+        let index_in_round = (config.proxy_index % self.round_size(config)) as usize;
+        let stride = zone_stride(config) as usize;
+        (index_in_round / stride + index_in_round % stride) % self.subset_count.get() as usize
+    }
 }
 
-/// How far apart the indexes of one zone's proxies may be: zones matter only if crossing them has a
-/// cost.
-fn zone_stride(cfg: &Config) -> u32 {
-    if cfg.cross_zone_cost > 0.0 {
-        cfg.zone_count
+/// How far apart the indexes of one zone's proxies may be. It is 1 where crossing zones has no
+/// cost: zones do not matter there.
+fn zone_stride(config: &Config) -> u32 {
+    if config.cross_zone_cost > 0.0 {
+        config.zone_count
     } else {
         1
     }
 }
 
-/// Whether cells have to stay together: requests of some class may be repeated only inside a cell.
-fn keeps_cells_together(cfg: &Config) -> bool {
-    cfg.classes
-        .iter()
-        .any(|class| class.idempotency.key_scope() == Some(KeyScope::Cell))
-}
-
-fn group_key(cfg: &Config, entry: &Endpoint) -> GroupKey {
-    (
-        entry.zone,
-        if keeps_cells_together(cfg) {
-            MachineTypeId::default()
-        } else {
-            entry.machine_type
-        },
-    )
-}
-
-/// Spreads the bits of a number over all of it (the finalizer of `SplitMix64`).
-fn mix(number: u64) -> u64 {
-    let a = (number ^ (number >> 30))
-        .wrapping_add(0x9e37_79b9_7f4a_7c15)
-        .wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let b = (a ^ (a >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    b ^ (b >> 31)
+/// The part of a group that the subset of this index gets.
+fn part_of_group(
+    group: &[RingPosition],
+    subset_index: usize,
+    subset_count: usize,
+) -> &[RingPosition] {
+    // The first subsets have one backend more. When a backend joins or leaves, only one subset
+    // changes its size, and the bounds of the others move by one position at most.
+    let size = group.len() / subset_count;
+    let surplus = group.len() % subset_count;
+    let start = subset_index * size + subset_index.min(surplus);
+    let own_size = size + usize::from(subset_index < surplus);
+    &group[start..start + own_size]
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/balancer/src/subset/groups.rs
@@ -0,0 +1,146 @@
+//! The backends of the endpoint list in the order in which they are divided into subsets.
+
+use crate::config::{Config, KeyScope};
+use crate::endpoint::Endpoint;
+use crate::ids::{BackendId, MachineTypeId, ZoneId};
+use std::collections::BTreeMap;
+
+/// Constants of the 64-bit finalizer of `SplitMix64` (Steele, Lea, Flood: "Fast Splittable
+/// Pseudorandom Number Generators", 2014).
+const SPLIT_MIX_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+const SPLIT_MIX_FIRST_FACTOR: u64 = 0xbf58_476d_1ce4_e5b9;
+const SPLIT_MIX_SECOND_FACTOR: u64 = 0x94d0_49bb_1331_11eb;
+
+/// Identifies the backends that are divided together: each subset gets its part of every group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct GroupKey {
+    zone: ZoneId,
+    /// The machine type; where cells have to stay together, the default one for all backends.
+    machine_type: MachineTypeId,
+}
+
+impl GroupKey {
+    /// By how many subsets the division of this group is shifted.
+    pub fn index_shift(self, subset_count: usize) -> usize {
+        let hash = mix64(self.zone.0 ^ mix64(self.machine_type.0));
+        hash as usize % subset_count
+    }
+}
+
+/// A backend's position in its group. The order of the fields is the order of the positions: by
+/// hash, then by id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct RingPosition {
+    hash: u64,
+    pub id: BackendId,
+}
+
+/// How the proxies of one round divide the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Division {
+    /// Index of the round; each round has its own order.
+    pub round: u32,
+    /// Whether the backends of a cell have adjacent positions.
+    pub keeps_cells_together: bool,
+}
+
+impl Division {
+    fn group_key(self, endpoint: &Endpoint) -> GroupKey {
+        let machine_type = if self.keeps_cells_together {
+            MachineTypeId::default()
+        } else {
+            endpoint.machine_type
+        };
+        GroupKey {
+            zone: endpoint.zone,
+            machine_type,
+        }
+    }
+
+    fn ring_position(self, endpoint: &Endpoint) -> RingPosition {
+        let hashed_id = if self.keeps_cells_together {
+            endpoint.cell.0
+        } else {
+            endpoint.id.0
+        };
+        RingPosition {
+            hash: mix64(hashed_id ^ mix64(u64::from(self.round))),
+            id: endpoint.id,
+        }
+    }
+}
+
+/// Whether cells have to stay together: requests of some class may be repeated only inside a cell,
+/// so a proxy needs several backends of each cell that it uses.
+pub(super) fn requires_whole_cells(config: &Config) -> bool {
+    config
+        .classes
+        .iter()
+        .any(|class| class.idempotency.key_scope() == Some(KeyScope::Cell))
+}
+
+/// The groups of all backends.
+///
+/// It owns the positions of the backends, sorted in each group. It takes the endpoints and the
+/// division as arguments; the division must be the one with which the groups were built.
+#[derive(Default)]
+pub(super) struct EndpointGroups {
+    groups: BTreeMap<GroupKey, Vec<RingPosition>>,
+}
+
+impl EndpointGroups {
+    /// Divides the endpoints into groups and sorts these.
+    pub fn new<'a>(
+        division: Division,
+        endpoints: impl Iterator<Item = &'a Endpoint>,
+    ) -> EndpointGroups {
+        let mut groups: BTreeMap<GroupKey, Vec<RingPosition>> = BTreeMap::new();
+        for endpoint in endpoints {
+            let group = groups.entry(division.group_key(endpoint)).or_default();
+            group.push(division.ring_position(endpoint));
+        }
+        for group in groups.values_mut() {
+            group.sort_unstable();
+        }
+        EndpointGroups { groups }
+    }
+
+    /// Adds an endpoint that is not in its group yet.
+    pub fn insert(&mut self, division: Division, endpoint: &Endpoint) {
+        let position = division.ring_position(endpoint);
+        let group = self.groups.entry(division.group_key(endpoint)).or_default();
+        let index = group.partition_point(|other| *other < position);
+        group.insert(index, position);
+    }
+
+    /// Removes an endpoint from its group.
+    pub fn remove(&mut self, division: Division, endpoint: &Endpoint) {
+        let position = division.ring_position(endpoint);
+        if let Some(group) = self.groups.get_mut(&division.group_key(endpoint)) {
+            group.retain(|other| *other != position);
+        }
+    }
+
+    /// How many backends of a zone there are.
+    pub fn count_in_zone(&self, zone: ZoneId) -> usize {
+        self.groups
+            .iter()
+            .filter(|(key, _)| key.zone == zone)
+            .map(|(_, group)| group.len())
+            .sum()
+    }
+
+    /// All groups with their backends, in the order of the keys.
+    pub fn iter(&self) -> impl Iterator<Item = (&GroupKey, &Vec<RingPosition>)> {
+        self.groups.iter()
+    }
+}
+
+/// Spreads the bits of a number over all 64 bits: a variant of the finalizer of `SplitMix64`.
+pub(super) fn mix64(number: u64) -> u64 {
+    let first = (number ^ (number >> 30))
+        .wrapping_add(SPLIT_MIX_INCREMENT)
+        .wrapping_mul(SPLIT_MIX_FIRST_FACTOR);
+    let second = (first ^ (first >> 27)).wrapping_mul(SPLIT_MIX_SECOND_FACTOR);
+    second ^ (second >> 31)
+}
