--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -7,7 +7,7 @@
 mod key;
 mod names;
 
-pub use error::SettingsError;
+pub use error::{InvalidValue, SettingsError};
 pub use key::Key;
 pub use names::{stable_id, Names};
 
@@ -17,7 +17,7 @@
 
 /// Reads the settings into a configuration and the names of its classes and tenants. The error is
 /// that of the first setting that is missing or not of the expected form.
-pub fn read(root: &Key) -> Result<(Config, Names), SettingsError> {
+pub fn read(root: &Key) -> Result<(Config, Names), InvalidValue> {
     let zones = read_zones(root)?;
     let mut names = Names::default();
     let classes = read_classes(&root.get("profiles"), &mut names)?;
@@ -38,10 +38,7 @@
         worst_class_goal_weight: objective.get("worst_class").real()?,
         cross_zone_cost: root.get("costs").get("cross_zone").real()?,
         discovery,
-        live_weights: root
-            .get("weight_source")
-            .text()
-            .is_ok_and(|source| source == "live"),
+        live_weights: has_live_weights(root),
         max_attempts: limits.get("max_attempts").count()?,
         cancellation_allowed: limits.get("cancel").flag()?,
         hedging_allowed: limits.get("parallel_tries").flag()?,
@@ -54,6 +51,12 @@
     Ok((config, names))
 }
 
+/// Whether the weights of the endpoint list are load reports; not if the setting is missing.
+fn has_live_weights(root: &Key) -> bool {
+    let source = root.get("weight_source");
+    source.text() == Ok("live")
+}
+
 /// The zones of the deployment.
 struct Zones {
     /// The proxy's own zone.
@@ -62,12 +65,12 @@
     count: u32,
 }
 
-fn read_zones(root: &Key) -> Result<Zones, SettingsError> {
+fn read_zones(root: &Key) -> Result<Zones, InvalidValue> {
     let zones = root.get("zones").list()?;
-    let names = zones
-        .iter()
-        .map(Key::text)
-        .collect::<Result<Vec<&str>, SettingsError>>()?;
+    let mut names = Vec::with_capacity(zones.len());
+    for zone in &zones {
+        names.push(zone.text()?);
+    }
     let own_zone = root.get("my_zone");
     let own_name = own_zone.text()?;
     if !names.contains(&own_name) {
@@ -79,7 +82,7 @@
     })
 }
 
-fn read_classes(profiles: &Key, names: &mut Names) -> Result<Vec<Class>, SettingsError> {
+fn read_classes(profiles: &Key, names: &mut Names) -> Result<Vec<Class>, InvalidValue> {
     let mut classes = Vec::new();
     for profile in profiles.list()? {
         let name = profile.get("name");
@@ -92,7 +95,7 @@
     Ok(classes)
 }
 
-fn read_class(profile: &Key) -> Result<Class, SettingsError> {
+fn read_class(profile: &Key) -> Result<Class, InvalidValue> {
     let idempotency = read_idempotency(profile)?;
     Ok(Class {
         latency_objective: read_latency_objective(profile)?,
@@ -103,7 +106,7 @@
     })
 }
 
-fn read_latency_objective(profile: &Key) -> Result<Micros, SettingsError> {
+fn read_latency_objective(profile: &Key) -> Result<Micros, InvalidValue> {
     let objective = profile.get("aim_us");
     let latency_objective = objective.micros()?;
     if latency_objective > profile.get("deadline_us").micros()? {
@@ -112,7 +115,7 @@
     Ok(latency_objective)
 }
 
-fn read_idempotency(profile: &Key) -> Result<Idempotency, SettingsError> {
+fn read_idempotency(profile: &Key) -> Result<Idempotency, InvalidValue> {
     let effect = profile.get("effect");
     match effect.text()? {
         "free" => Ok(Idempotency::Idempotent),
@@ -125,7 +128,7 @@
     }
 }
 
-fn read_key_scope(scope: &Key) -> Result<KeyScope, SettingsError> {
+fn read_key_scope(scope: &Key) -> Result<KeyScope, InvalidValue> {
     match scope.text()? {
         "all" => Ok(KeyScope::All),
         "zone" => Ok(KeyScope::Zone),
@@ -134,7 +137,7 @@
     }
 }
 
-fn read_tenants(customers: &Key, names: &mut Names) -> Result<Vec<Tenant>, SettingsError> {
+fn read_tenants(customers: &Key, names: &mut Names) -> Result<Vec<Tenant>, InvalidValue> {
     let mut tenants = Vec::new();
     for customer in customers.list()? {
         names.tenants.push(customer.get("name").text()?.into());
@@ -145,7 +148,7 @@
     Ok(tenants)
 }
 
-fn read_discovery(root: &Key) -> Result<DiscoveryMode, SettingsError> {
+fn read_discovery(root: &Key) -> Result<DiscoveryMode, InvalidValue> {
     let mode = root.get("discovery");
     match mode.text()? {
         "automatic" => Ok(DiscoveryMode::Push),
--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -1,26 +1,42 @@
-//! The error that a setting causes.
+//! The error that a value of a JSON document causes.
 
-use serde_json::Value;
-
-/// A setting is missing or does not have a value of the expected form.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum SettingsError {
-    /// A required setting is missing.
+/// A value of a JSON document is missing or not as expected. [`settings::read`](super::read) and
+/// the readers of other documents, such as endpoint lists, report it.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidValue {
+    /// A required value is missing.
     #[error("{path}: missing, expected {expected}")]
     Missing {
-        /// Where the setting was looked for, such as `profiles[1].name`.
+        /// Where the value was looked for, such as `profiles[1].name`.
         path: String,
         /// What was expected there.
         expected: &'static str,
     },
-    /// A setting has another value than those that are expected.
+    /// The value has another type than expected, or is out of its range.
     #[error("{path}: expected {expected}, got {got}")]
     Unexpected {
-        /// Where the setting stands, such as `profiles[1].name`.
+        /// Where the value stands, such as `profiles[1].name`.
         path: String,
         /// What was expected there.
         expected: &'static str,
-        /// What was found instead.
-        got: Value,
+        /// The text of what was found instead.
+        got: String,
     },
 }
+
+impl InvalidValue {
+    /// The error for the value at `path`; `got` is the value's text, or `None` if it is missing.
+    pub fn new(path: String, expected: &'static str, got: Option<String>) -> InvalidValue {
+        match got {
+            Some(got) => InvalidValue::Unexpected {
+                path,
+                expected,
+                got,
+            },
+            None => InvalidValue::Missing { path, expected },
+        }
+    }
+}
+
+/// The former name of [`InvalidValue`].
+pub type SettingsError = InvalidValue;
--- a/crates/balancer/src/settings/key.rs
+++ b/crates/balancer/src/settings/key.rs
@@ -1,6 +1,6 @@
 //! A reader for JSON documents whose errors name the path of the value.
 
-use super::SettingsError;
+use super::InvalidValue;
 use crate::time::Micros;
 use serde_json::Value;
 
@@ -38,32 +38,35 @@
     }
 
     /// The items of an array.
-    pub fn list(&self) -> Result<Vec<Key<'a>>, SettingsError> {
+    pub fn list(&self) -> Result<Vec<Key<'a>>, InvalidValue> {
         let items = self.want(self.value.and_then(Value::as_array), "an array")?;
-        let item = |(index, value)| Key {
-            path: format!("{}[{index}]", self.path),
-            value: Some(value),
-        };
-        Ok(items.iter().enumerate().map(item).collect())
+        let mut keys = Vec::with_capacity(items.len());
+        for (index, value) in items.iter().enumerate() {
+            keys.push(Key {
+                path: format!("{}[{index}]", self.path),
+                value: Some(value),
+            });
+        }
+        Ok(keys)
     }
 
     /// A text.
-    pub fn text(&self) -> Result<&'a str, SettingsError> {
+    pub fn text(&self) -> Result<&'a str, InvalidValue> {
         self.want(self.value.and_then(Value::as_str), "text")
     }
 
     /// A truth value.
-    pub fn flag(&self) -> Result<bool, SettingsError> {
+    pub fn flag(&self) -> Result<bool, InvalidValue> {
         self.want(self.value.and_then(Value::as_bool), "true or false")
     }
 
     /// A number.
-    pub fn real(&self) -> Result<f64, SettingsError> {
+    pub fn real(&self) -> Result<f64, InvalidValue> {
         self.want(self.value.and_then(Value::as_f64), "a number")
     }
 
     /// A number, or `default` if there is no value.
-    pub fn real_or(&self, default: f64) -> Result<f64, SettingsError> {
+    pub fn real_or(&self, default: f64) -> Result<f64, InvalidValue> {
         match self.value {
             Some(_) => self.real(),
             None => Ok(default),
@@ -71,36 +74,28 @@
     }
 
     /// A whole number that is not negative.
-    pub fn count(&self) -> Result<u32, SettingsError> {
-        let count = self
-            .value
-            .and_then(Value::as_u64)
-            .and_then(|count| u32::try_from(count).ok());
+    pub fn count(&self) -> Result<u32, InvalidValue> {
+        let number = self.value.and_then(Value::as_u64);
+        let count = number.and_then(|number| u32::try_from(number).ok());
         self.want(count, "a whole number")
     }
 
     /// A time span in whole microseconds.
-    pub fn micros(&self) -> Result<Micros, SettingsError> {
-        self.want(self.value.and_then(Value::as_u64), "whole microseconds")
-            .map(Micros)
+    pub fn micros(&self) -> Result<Micros, InvalidValue> {
+        let number = self.value.and_then(Value::as_u64);
+        let micros = self.want(number, "whole microseconds")?;
+        Ok(Micros(micros))
     }
 
-    /// What the caller made of the value; if it is `None`, the error that the value is not as
-    /// expected.
-    pub fn want<T>(&self, parsed: Option<T>, expected: &'static str) -> Result<T, SettingsError> {
+    /// Returns `parsed`, which the caller has made of the value; if it is `None`, the error that
+    /// the value is not as expected.
+    pub fn want<T>(&self, parsed: Option<T>, expected: &'static str) -> Result<T, InvalidValue> {
         parsed.ok_or_else(|| self.error(expected))
     }
 
     /// The error that the value is missing or not as expected.
-    pub fn error(&self, expected: &'static str) -> SettingsError {
-        let path = self.path.clone();
-        match self.value {
-            Some(value) => SettingsError::Unexpected {
-                path,
-                expected,
-                got: value.clone(),
-            },
-            None => SettingsError::Missing { path, expected },
-        }
+    pub fn error(&self, expected: &'static str) -> InvalidValue {
+        let got = self.value.map(Value::to_string);
+        InvalidValue::new(self.path.clone(), expected, got)
     }
 }
--- a/crates/balancer/src/settings/tests.rs
+++ b/crates/balancer/src/settings/tests.rs
@@ -48,7 +48,7 @@
     settings
 }
 
-fn error_of(settings: &Value) -> SettingsError {
+fn error_of(settings: &Value) -> InvalidValue {
     read(&Key::root(settings)).expect_err("the settings are not valid")
 }
 
@@ -273,14 +273,14 @@
     let path = String::from("limits.max_attempts");
     assert_eq!(
         wrong,
-        SettingsError::Unexpected {
+        InvalidValue::Unexpected {
             path: path.clone(),
             expected,
-            got: json!("3")
+            got: String::from("\"3\""),
         }
     );
     let missing = error_of(&without("/limits", "max_attempts"));
-    assert_eq!(missing, SettingsError::Missing { path, expected });
+    assert_eq!(missing, InvalidValue::Missing { path, expected });
 }
 
 #[test]
--- a/crates/proxy/src/discovery/endpoint_list/decode.rs
+++ b/crates/proxy/src/discovery/endpoint_list/decode.rs
@@ -1,8 +1,9 @@
 //! The list object and its array of entries.
 
 use super::entry::RawEntry;
-use super::scalar::{InvalidValue, Scalar};
+use super::scalar::Scalar;
 use super::{EndpointList, ResolvedEndpoint};
+use brookstack_balancer::settings::InvalidValue;
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
--- a/crates/proxy/src/discovery/endpoint_list/entry.rs
+++ b/crates/proxy/src/discovery/endpoint_list/entry.rs
@@ -1,13 +1,15 @@
 //! One entry of an endpoint list.
 
-use super::scalar::{InvalidValue, Scalar};
+use super::scalar::Scalar;
 use super::ResolvedEndpoint;
-use brookstack_balancer::settings::stable_id;
+use brookstack_balancer::settings::{stable_id, InvalidValue};
 use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, MachineTypeId, Time, ZoneId};
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
 use std::net::SocketAddr;
 
+const MICROS_PER_MILLISECOND: u64 = 1_000;
+
 /// An entry as the document has it, its values not yet checked.
 #[derive(Default)]
 pub(super) struct RawEntry<'a> {
@@ -72,7 +74,7 @@
 }
 
 impl RawEntry<'_> {
-    /// Checks the values of the entry, whose index in the list error messages show.
+    /// Checks the values of the entry. Error messages show its index in the list.
     pub fn resolve(&self, index: usize) -> Result<ResolvedEndpoint, InvalidValue> {
         let at = |key| ValuePath { index, key };
         let state = backend_state(&self.status, at("status"))?;
@@ -125,8 +127,11 @@
     let milliseconds = value
         .as_unsigned()
         .ok_or_else(|| value.invalid(path, "whole milliseconds"))?;
-    let started_at = Time(milliseconds.saturating_mul(1000));
-    Ok(Some(started_at).filter(|time| time.0 > 0))
+    if milliseconds == 0 {
+        return Ok(None);
+    }
+    let micros = milliseconds.saturating_mul(MICROS_PER_MILLISECOND);
+    Ok(Some(Time(micros)))
 }
 
 fn group_number(value: &Scalar<'_>, path: ValuePath) -> Result<u64, InvalidValue> {
--- a/crates/proxy/src/discovery/endpoint_list/scalar.rs
+++ b/crates/proxy/src/discovery/endpoint_list/scalar.rs
@@ -1,6 +1,7 @@
 //! One value of a JSON document, read without regard to its type and checked afterwards, so that an
 //! error can name its path, what was expected and what was got.
 
+use brookstack_balancer::settings::InvalidValue;
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::borrow::Cow;
 use std::fmt;
@@ -20,37 +21,15 @@
     Compound,
 }
 
-/// A value in a document is missing, or is not what it has to be.
-#[derive(Debug, thiserror::Error)]
-pub(super) enum InvalidValue {
-    /// There is no such member.
-    #[error("{path}: missing, expected {expected}")]
-    Missing {
-        path: String,
-        expected: &'static str,
-    },
-    /// The value has another type or is out of its range.
-    #[error("{path}: expected {expected}, got {got}")]
-    Unexpected {
-        path: String,
-        expected: &'static str,
-        got: String,
-    },
-}
-
 impl Scalar<'_> {
-    /// The error for this value at that path. Only an error has its path written out, as most
-    /// values are good.
+    /// The error for this value at that path. The path is only written out here, as most values are
+    /// valid.
     pub fn invalid(&self, path: impl fmt::Display, expected: &'static str) -> InvalidValue {
-        let path = path.to_string();
-        match self {
-            Scalar::Missing => InvalidValue::Missing { path, expected },
-            value => InvalidValue::Unexpected {
-                path,
-                expected,
-                got: value.to_string(),
-            },
-        }
+        let got = match self {
+            Scalar::Missing => None,
+            value => Some(value.to_string()),
+        };
+        InvalidValue::new(path.to_string(), expected, got)
     }
 
     /// The text of a string.
