--- a/crates/balancer/src/settings/tests.rs
+++ b/crates/balancer/src/settings/tests.rs
@@ -58,39 +58,44 @@
         .0
 }
 
-#[test]
-fn every_setting_goes_into_its_field() {
-    let expected = Config {
+/// The classes that [`settings`] give.
+fn expected_classes() -> Vec<Class> {
+    vec![
+        Class {
+            latency_objective: Micros(300_000),
+            objective_per_work: 1.5,
+            idempotency: Idempotency::Idempotent,
+            priority_weight: 2.0,
+            late_weight: 0.4,
+        },
+        Class {
+            latency_objective: Micros(400_000),
+            objective_per_work: 0.0,
+            idempotency: Idempotency::IdempotencyKey {
+                scope: KeyScope::Cell,
+                window: Micros(7_000_000),
+            },
+            priority_weight: 3.0,
+            late_weight: 0.5,
+        },
+        Class {
+            latency_objective: Micros(500_000),
+            objective_per_work: 0.0,
+            idempotency: Idempotency::NonIdempotent,
+            priority_weight: 4.0,
+            late_weight: 0.6,
+        },
+    ]
+}
+
+/// The configuration that [`settings`] give.
+fn expected_config() -> Config {
+    Config {
         proxy_count: 5,
         proxy_index: 2,
         zone: ZoneId(stable_id("west")),
         zone_count: 2,
-        classes: vec![
-            Class {
-                latency_objective: Micros(300_000),
-                objective_per_work: 1.5,
-                idempotency: Idempotency::Idempotent,
-                priority_weight: 2.0,
-                late_weight: 0.4,
-            },
-            Class {
-                latency_objective: Micros(400_000),
-                objective_per_work: 0.0,
-                idempotency: Idempotency::IdempotencyKey {
-                    scope: KeyScope::Cell,
-                    window: Micros(7_000_000),
-                },
-                priority_weight: 3.0,
-                late_weight: 0.5,
-            },
-            Class {
-                latency_objective: Micros(500_000),
-                objective_per_work: 0.0,
-                idempotency: Idempotency::NonIdempotent,
-                priority_weight: 4.0,
-                late_weight: 0.6,
-            },
-        ],
+        classes: expected_classes(),
         tenants: vec![Tenant { quota_per_s: 10.0 }, Tenant { quota_per_s: 20.0 }],
         over_quota_weight: 0.1,
         overall_goal_weight: 0.7,
@@ -108,7 +113,12 @@
         slow_start_duration: Micros(9_000_000),
         overload_multiple: 2.5,
         overload_window: Micros(2_000_000),
-    };
+    }
+}
+
+#[test]
+fn every_setting_goes_into_its_field() {
+    let expected = expected_config();
     assert_eq!(config_of(&settings()), expected);
     assert_eq!(expected.validate(), Ok(()));
 }
@@ -145,84 +155,93 @@
     assert_eq!(config_of(&extended), config_of(&settings()));
 }
 
+/// Checks the error's text if the value at a JSON pointer is replaced: it has the path, what was
+/// expected and the value.
+fn assert_unexpected(pointer: &str, value: Value, message: &str) {
+    assert_eq!(error_of(&with(pointer, value)).to_string(), message);
+}
+
 #[test]
-fn an_unexpected_value_is_reported_with_path_expectation_and_value() {
-    let cases = [
-        (
-            "/group_size",
-            json!("5"),
-            "group_size: expected a whole number, got \"5\"",
-        ),
-        (
-            "/group_size",
-            json!(4_294_967_296_u64),
-            "group_size: expected a whole number, got 4294967296",
-        ),
-        (
-            "/position",
-            json!(-1),
-            "position: expected a whole number, got -1",
-        ),
-        (
-            "/zones",
-            json!("east"),
-            "zones: expected an array, got \"east\"",
-        ),
-        ("/zones/1", json!(2), "zones[1]: expected text, got 2"),
-        (
-            "/my_zone",
-            json!("north"),
-            "my_zone: expected one of zones, got \"north\"",
-        ),
-        (
-            "/profiles/1/name",
-            json!("read"),
-            "profiles[1].name: expected a name that no other class has, got \"read\"",
-        ),
-        (
-            "/profiles/0/effect",
-            json!("odd"),
-            "profiles[0].effect: expected free, guarded or single_shot, got \"odd\"",
-        ),
-        (
-            "/profiles/1/key_scope",
-            json!("rack"),
-            "profiles[1].key_scope: expected all, zone or cell, got \"rack\"",
-        ),
-        (
-            "/profiles/2/aim_us",
-            json!(0.5),
-            "profiles[2].aim_us: expected whole microseconds, got 0.5",
-        ),
-        (
-            "/profiles/2/aim_us",
-            json!(600_001),
-            "profiles[2].aim_us: expected no more than deadline_us, got 600001",
-        ),
-        (
-            "/profiles/0/aim_stretch",
-            json!(null),
-            "profiles[0].aim_stretch: expected a number, got null",
-        ),
-        (
-            "/customers/1/quota_rps",
-            json!("20"),
-            "customers[1].quota_rps: expected a number, got \"20\"",
-        ),
-        (
-            "/discovery",
-            json!("pull"),
-            "discovery: expected automatic or subscribe, got \"pull\"",
-        ),
-        (
-            "/limits/cancel",
-            json!(1),
-            "limits.cancel: expected true or false, got 1",
-        ),
-    ];
-    for (pointer, value, message) in cases {
-        assert_eq!(error_of(&with(pointer, value)).to_string(), message);
-    }
+fn an_unexpected_value_for_the_fleet_is_reported_with_path_expectation_and_value() {
+    assert_unexpected(
+        "/group_size",
+        json!("5"),
+        "group_size: expected a whole number, got \"5\"",
+    );
+    assert_unexpected(
+        "/group_size",
+        json!(4_294_967_296_u64),
+        "group_size: expected a whole number, got 4294967296",
+    );
+    assert_unexpected(
+        "/position",
+        json!(-1),
+        "position: expected a whole number, got -1",
+    );
+    assert_unexpected(
+        "/zones",
+        json!("east"),
+        "zones: expected an array, got \"east\"",
+    );
+    assert_unexpected("/zones/1", json!(2), "zones[1]: expected text, got 2");
+    assert_unexpected(
+        "/my_zone",
+        json!("north"),
+        "my_zone: expected one of zones, got \"north\"",
+    );
+}
+
+#[test]
+fn an_unexpected_value_for_a_class_is_reported_with_path_expectation_and_value() {
+    assert_unexpected(
+        "/profiles/1/name",
+        json!("read"),
+        "profiles[1].name: expected a name that no other class has, got \"read\"",
+    );
+    assert_unexpected(
+        "/profiles/0/effect",
+        json!("odd"),
+        "profiles[0].effect: expected free, guarded or single_shot, got \"odd\"",
+    );
+    assert_unexpected(
+        "/profiles/1/key_scope",
+        json!("rack"),
+        "profiles[1].key_scope: expected all, zone or cell, got \"rack\"",
+    );
+    assert_unexpected(
+        "/profiles/2/aim_us",
+        json!(0.5),
+        "profiles[2].aim_us: expected whole microseconds, got 0.5",
+    );
+    assert_unexpected(
+        "/profiles/2/aim_us",
+        json!(600_001),
+        "profiles[2].aim_us: expected no more than deadline_us, got 600001",
+    );
+    assert_unexpected(
+        "/profiles/0/aim_stretch",
+        json!(null),
+        "profiles[0].aim_stretch: expected a number, got null",
+    );
+}
+
+#[test]
+fn other_unexpected_values_are_reported_with_path_expectation_and_value() {
+    assert_unexpected(
+        "/customers/1/quota_rps",
+        json!("20"),
+        "customers[1].quota_rps: expected a number, got \"20\"",
+    );
+    assert_unexpected(
+        "/discovery",
+        json!("pull"),
+        "discovery: expected automatic or subscribe, got \"pull\"",
+    );
+    assert_unexpected(
+        "/limits/cancel",
+        json!(1),
+        "limits.cancel: expected true or false, got 1",
+    );
 }
 
 #[test]
