--- a/crates/balancer/src/estimators.rs
+++ b/crates/balancer/src/estimators.rs
@@ -1,38 +1,54 @@
 //! Running estimates of means, rates and fractions.
 
-use crate::Time;
+use crate::time::Time;
 
 /// Samples that a running mean or fraction covers: its error is then about a tenth of the samples'
 /// spread.
 pub(crate) const SAMPLE_MEMORY: f64 = 100.0;
-/// Time that a rate estimate covers, s: some hundred arrivals, yet short beside a slow start or a
-/// failure.
+/// Time that a rate estimate covers, 2 s. It is long enough for some hundred arrivals, and short
+/// compared with a slow start or a failure.
 pub(crate) const RATE_MEMORY: f64 = 2.0;
-/// A rate is known once [`RATE_MEMORY`] divided by this has been observed.
+/// A rate is known once [`RATE_MEMORY`] divided by this has been observed: 0.1 s.
 const MEMORY_PER_MIN_OBSERVED: f64 = 20.0;
-/// Time that a time-weighted mean covers, s: some tens of requests, yet shorter than it takes to
-/// overload a backend.
+/// Time that a time-weighted mean covers, 1 s. It is long enough for some tens of requests, and
+/// shorter than the time in which a backend becomes overloaded.
 const LEVEL_MEMORY: f64 = 1.0;
 
 /// Smallest divisor: keeps quotients of estimates finite.
 pub(crate) const EPSILON: f64 = 1e-9;
 
 /// A mean over about the last [`SAMPLE_MEMORY`] samples.
+///
+/// It owns the mean and the number of samples. It takes the samples as arguments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
+    /// To be read through [`RunningMean::value`].
     pub value: f64,
+    /// To be read through [`RunningMean::count`].
     pub count: f64,
 }
 
 impl RunningMean {
+    /// Takes in a sample: the mean of all samples up to [`SAMPLE_MEMORY`], from then on an
+    /// exponentially weighted mean.
     pub fn add(&mut self, sample: f64) {
         self.count = (self.count + 1.0).min(SAMPLE_MEMORY);
         self.value += (sample - self.value) / self.count;
     }
 
-    /// `None` until the first sample.
+    /// The mean; 0 before the first sample.
+    pub fn value(&self) -> f64 {
+        self.value
+    }
+
+    /// Number of samples in the mean, [`SAMPLE_MEMORY`] at most.
+    pub fn count(&self) -> f64 {
+        self.count
+    }
+
+    /// The mean; `None` before the first sample.
     pub fn get(&self) -> Option<f64> {
-        (self.count > 0.0).then_some(self.value)
+        (self.count() > 0.0).then_some(self.value())
     }
 }
 
@@ -41,44 +57,68 @@
     *fraction += (f64::from(hit) - *fraction) / SAMPLE_MEMORY;
 }
 
-/// Events per second over about the last [`RATE_MEMORY`] seconds, without bias from the start on.
+/// Events per second over about the last [`RATE_MEMORY`] seconds. The estimate has no bias while
+/// less time than that has been observed.
+///
+/// It owns the counts and the time of the last update. It takes the time and the events as
+/// arguments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RateEstimator {
-    /// Events counted, fading with time.
+    /// Events counted; older ones count less.
     events: f64,
-    /// Seconds observed, fading with time.
-    observed: f64,
+    /// Seconds observed; older ones count less.
+    observed_secs: f64,
     updated_at: Option<Time>,
 }
 
 impl RateEstimator {
     /// Counts `events` at `now`; zero events just let time pass.
     pub fn add(&mut self, now: Time, events: f64) {
-        let elapsed = self.updated_at.map_or(0.0, |at| (now - at).secs());
-        let fade = (-elapsed / RATE_MEMORY).exp();
-        self.events = self.events * fade + events;
-        self.observed = self.observed * fade + (1.0 - fade) * RATE_MEMORY;
+        let elapsed_secs = match self.updated_at {
+            Some(updated_at) => (now - updated_at).secs(),
+            None => 0.0,
+        };
+        let kept_fraction = (-elapsed_secs / RATE_MEMORY).exp();
+        let newly_observed_secs = (1.0 - kept_fraction) * RATE_MEMORY;
+        self.events = self.events * kept_fraction + events;
+        self.observed_secs = self.observed_secs * kept_fraction + newly_observed_secs;
         self.updated_at = Some(now);
     }
 
-    /// `None` until a twentieth of the memory has passed.
+    /// Events per second; `None` until a twentieth of [`RATE_MEMORY`] has been observed.
     pub fn per_s(&self) -> Option<f64> {
-        (self.observed > RATE_MEMORY / MEMORY_PER_MIN_OBSERVED).then(|| self.events / self.observed)
+        let min_observed_secs = RATE_MEMORY / MEMORY_PER_MIN_OBSERVED;
+        if self.observed_secs <= min_observed_secs {
+            return None;
+        }
+        Some(self.events / self.observed_secs)
     }
 }
 
 /// The mean of a count over about the last second, weighted by time.
+///
+/// It owns the mean and the time of the last update. It takes the time and the count as arguments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TimeWeightedMean {
+    /// To be read through [`TimeWeightedMean::value`].
     pub value: f64,
     updated_at: Time,
 }
 
 impl TimeWeightedMean {
-    /// Tells that the count has been `count` from the last update until `now`.
+    /// Takes in that the count has been `count` from the last update until `now`.
     pub fn advance(&mut self, now: Time, count: f64) {
-        let fade = (-(now - self.updated_at).secs() / LEVEL_MEMORY).exp();
-        self.value = self.value * fade + count * (1.0 - fade);
+        let elapsed_secs = (now - self.updated_at).secs();
+        let kept_fraction = (-elapsed_secs / LEVEL_MEMORY).exp();
+        self.value = self.value() * kept_fraction + count * (1.0 - kept_fraction);
         self.updated_at = now;
     }
+
+    /// The mean; 0 before the first update.
+    pub fn value(&self) -> f64 {
+        self.value
+    }
 }
+
+#[cfg(test)]
+mod tests;
