--- a/crates/balancer/src/random.rs
+++ b/crates/balancer/src/random.rs
@@ -3,10 +3,12 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Number of values that [`Rng::unit`] can return.
+/// Number of values that [`Rng::unit`] can return: 2 to the power of 32.
 const UNIT_STEPS: f64 = 4_294_967_296.0;
 
 /// A random number generator that gives the same sequence on every machine for the same seed.
+///
+/// It owns the state of the generator. Each draw takes exactly one number from the sequence.
 pub(crate) struct Rng(Pcg32);
 
 impl Rng {
@@ -19,16 +21,22 @@
         f64::from(self.0.next_u32()) / UNIT_STEPS
     }
 
-    /// Draws one of the items, each with a probability in proportion to its weight.
+    /// Draws one of the items, each with a probability in proportion to its weight; `None` if there
+    /// are no items.
     pub fn pick_weighted<T: Copy>(&mut self, items: &[(T, f64)]) -> Option<T> {
-        let total = items.iter().map(|(_, weight)| weight).sum::<f64>();
-        let mut remaining = self.unit() * total;
+        let total_weight = items.iter().map(|(_, weight)| weight).sum::<f64>();
+        let mut remaining = self.unit() * total_weight;
         for (item, weight) in items {
             remaining -= weight;
             if remaining < 0.0 {
                 return Some(*item);
             }
         }
-        items.last().map(|(item, _)| *item)
+        // All weights are 0, or rounding has left a rest.
+        let (last_item, _) = items.last()?;
+        Some(*last_item)
     }
 }
+
+#[cfg(test)]
+mod tests;
