--- a/crates/balancer/src/host.rs
+++ b/crates/balancer/src/host.rs
@@ -6,18 +6,21 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Ticks after a request's deadline in which the balancer may still respond: its timers expire a
-/// tick late at most.
+/// Ticks after a request's deadline within which the balancer may still respond. Its timers expire
+/// one tick late at most.
 pub const RESPONSE_GRACE_TICKS: u64 = 2;
 
+/// A timer that has not expired. The order of the fields is the order of expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     expires_at: Time,
     token: TimerToken,
 }
 
-/// The timers that a balancer has set with [`Action::SetTimer`](crate::Action::SetTimer), in the
-/// order of their expiry; of those that expire at the same time, in the order of their tokens.
+/// The timers that a balancer has set with [`Action::SetTimer`](crate::Action::SetTimer).
+///
+/// It owns the timers that have not expired. It takes the time as an argument. Timers expire in the
+/// order of their times; those with the same time expire in the order of their tokens.
 #[derive(Clone, Debug, Default)]
 pub struct TimerQueue {
     pending: BinaryHeap<Reverse<Timer>>,
@@ -36,8 +39,11 @@
 
     /// Takes the next timer that has expired.
     pub fn pop_expired(&mut self, now: Time) -> Option<TimerToken> {
-        self.next_expiry().filter(|expiry| *expiry <= now)?;
-        self.pending.pop().map(|Reverse(timer)| timer.token)
+        if self.next_expiry()? > now {
+            return None;
+        }
+        let Reverse(timer) = self.pending.pop()?;
+        Some(timer.token)
     }
 
     /// Drops all timers.
@@ -45,3 +51,6 @@
         self.pending.clear();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/time.rs
+++ b/crates/balancer/src/time.rs
@@ -53,3 +53,6 @@
         Micros((self.0 as f64 * factor) as u64)
     }
 }
+
+#[cfg(test)]
+mod tests;
