--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -6,6 +6,9 @@
 use crate::ids::ZoneId;
 use crate::time::Micros;
 
+/// What a setting from 0 to 1 is expected to be.
+const FRACTION: &str = "a fraction from 0 to 1";
+
 /// Everything that is known when a balancer is created.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
@@ -31,8 +34,8 @@
     pub cross_zone_cost: f64,
     /// How the endpoint list arrives.
     pub discovery: DiscoveryMode,
-    /// Whether the weights of the endpoint list are load reports: nominal size / (1 + requests in
-    /// flight per core), as of a while ago.
+    /// Whether the weights of the endpoint list are load reports. Such a weight is the backend's
+    /// nominal size divided by (1 + requests in flight per core); it lags behind the load.
     pub live_weights: bool,
     /// Attempts allowed per request, the first one included.
     pub max_attempts: u32,
@@ -257,8 +260,6 @@
     }
 }
 
-const FRACTION: &str = "a fraction from 0 to 1";
-
 /// A configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{setting}: expected {expected}")]
@@ -277,10 +278,10 @@
     }
 }
 
-fn is_fraction(x: f64) -> bool {
-    (0.0..=1.0).contains(&x)
+fn is_fraction(number: f64) -> bool {
+    (0.0..=1.0).contains(&number)
 }
 
-fn is_positive(x: f64) -> bool {
-    x > 0.0 && x.is_finite()
+fn is_positive(number: f64) -> bool {
+    number > 0.0 && number.is_finite()
 }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -18,8 +18,8 @@
     pub state: BackendState,
     /// When its process last started; `None` if long ago.
     pub started_at: Option<Time>,
-    /// The entry's weight, only comparable within a kind; used if
-    /// [`Config::live_weights`](crate::Config::live_weights) is set.
+    /// The entry's weight; only the weights of one machine type can be compared. The balancer uses
+    /// it if [`Config::live_weights`](crate::Config::live_weights) is set.
     pub weight: f64,
 }
 
