--- a/crates/balancer/src/subset/groups.rs
+++ b/crates/balancer/src/subset/groups.rs
@@ -144,3 +144,6 @@
     let second = (first ^ (first >> 27)).wrapping_mul(SPLIT_MIX_SECOND_FACTOR);
     second ^ (second >> 31)
 }
+
+#[cfg(test)]
+mod tests;
