--- a/crates/balancer/src/discovery_watch.rs
+++ b/crates/balancer/src/discovery_watch.rs
@@ -2,54 +2,39 @@
 //! fresh.
 //!
 //! All proxies poll one discovery service, which answers one poll after the other. So each proxy
-//! keeps to its part of the poll rate that this service can sustain. The rest of the crate only
-//! sees the endpoint list.
+//! keeps to its part of the poll rate that the service can sustain.
+//!
+//! - `polling_load` knows what the service can take,
+//! - `poll_backoff` decides how long to wait after a failed poll.
+
+mod poll_backoff;
+mod polling_load;
 
-use crate::{Config, DiscoveryMode, Micros, Time};
+use crate::config::{Config, DiscoveryMode};
+use crate::time::{Micros, Time};
+use poll_backoff::PollBackoff;
+use polling_load::{empty_start_spread_secs, must_spread_polls, poll_spread_secs};
 
-/// A proxy counts as notified of a change this long after discovery had the change and was
-/// reachable, whether or not any poll succeeded. From then on a list that may lack the change is
-/// stale.
+/// A proxy counts as notified of a change 6 s after discovery had the change and was reachable,
+/// whether or not a poll succeeded. From then on, a list that may lack the change is stale.
 pub(crate) const NOTIFICATION_DEADLINE: Micros = Micros(6_000_000);
-/// Time within which a poll has to be sent, s: the rest of that deadline is for the queue and the
-/// response.
-const POLL_DEADLINE: f64 = 5.0;
-/// Time that discovery takes for one poll, s: an estimate on the safe side, as no setting gives it.
-/// If every proxy polls once in this time multiplied by the number of proxies, no queue builds up.
-const POLL_SERVICE_TIME: f64 = 0.08;
-/// The same for proxies that start without a list, s: shorter, as they can serve nothing until they
-/// have one.
-const EMPTY_START_SERVICE_TIME: f64 = 0.025;
-/// So many proxies may poll at once: all of their polls are served before the first of them could
-/// time out.
-const MAX_SIMULTANEOUS_POLLS: u32 = 4;
-/// Fraction of `poll_within` within which a proxy that starts without a list sends its first poll.
-const FIRST_POLL_DEADLINE_FRACTION: f64 = 0.8;
-/// A poll that fails after at least this time was in the service's queue: the service is up, but
-/// overloaded. One that fails sooner was rejected or reached nobody, and cost the service nothing.
+/// A poll that fails after at least 1 s was in the service's queue: the service is up, but
+/// overloaded. A poll that fails sooner was rejected or reached nobody, and cost the service
+/// nothing.
 const MIN_QUEUEING_TIME: Micros = Micros(1_000_000);
-/// A poll that is pending for this long without a failure has passed any queue: it is a watch that
-/// waits for a change. A poll that must not wait is ended by the host before that, and shows
-/// nothing about the list.
+/// A poll that is pending for 4 s without a failure has left the service's queue: it is a watch
+/// that waits for a change. The host ends a poll that must not wait sooner than that, so such a
+/// poll never counts as a watch.
 const MAX_QUEUEING_TIME: Micros = Micros(4_000_000);
-/// Shortest backoff after a rejected poll, s.
-const MIN_BACKOFF: f64 = 0.1;
-/// Longest backoff after a rejected poll as a fraction of `poll_within`, or ...
-const MAX_BACKOFF_FRACTION: f64 = 0.125;
-/// ... as seconds for each proxy, whichever is longer.
-const MAX_BACKOFF_PER_PROXY: f64 = 0.0225;
-/// Largest fraction of such a backoff that is taken off at random. Rejected polls are spread out
-/// already; a larger one would shorten the mean backoff, so that more polls meet a queue when the
-/// service returns.
-const BACKOFF_JITTER: f64 = 0.2;
-/// Polls that failed in the queue are repeated within this fraction of a poll round, from then on
-/// within a whole round: in that time the queue becomes empty even if no poll succeeds.
-const FIRST_QUEUE_BACKOFF_ROUNDS: f64 = 0.5;
-/// A poll without a response is repeated after this fraction of `poll_within`: it is considered
-/// lost.
+/// A poll without a response counts as lost, and is repeated, after this fraction of `poll_within`.
 const POLL_TIMEOUT_FRACTION: f64 = 0.5;
-/// A proxy counts as notified of changes that a timed-out watch missed this long after the timeout.
+/// A watch that timed out may have missed changes. The proxy counts as notified of these 1.5 s
+/// after the timeout.
 const WATCH_TIMEOUT_GRACE: Micros = Micros(1_500_000);
+/// When the first poll is due, unless it is scheduled for later: at once.
+const AT_ONCE: Time = Time(0);
+/// The value of [`DiscoveryWatch::fresh_at`] until the first call after the start of the process.
+const NOT_STARTED: Time = Time(0);
 
 /// State of the latest poll.
 #[derive(Clone, Copy, Default)]
@@ -58,18 +43,35 @@
     #[default]
     Disconnected,
     /// It was sent at this time and may be in the service's queue.
-    Connecting(Time),
-    /// It was answered, or was pending when the next one was due: it waits for a change.
+    Connecting { sent_at: Time },
+    /// It was answered, or was still pending when the next one was due: it waits for a change.
     Established,
 }
 
-/// When this proxy polls next, and the state of its latest poll.
+/// What the failure of the latest poll shows about the service.
+#[derive(Clone, Copy)]
+enum PollFailure {
+    /// The poll failed so soon that it was rejected or reached nobody.
+    Rejected { sent_at: Time },
+    /// The poll failed in the service's queue.
+    Queued,
+    /// The poll was an established watch, which was in no queue.
+    WatchBroken,
+    /// There was no poll that could fail.
+    NothingPending,
+}
+
+/// The schedule of this proxy's polls and the freshness of its endpoint list.
+///
+/// It owns the state of the latest poll, the time of the next one and the time at which the list
+/// was last known to be complete. It takes the time, the configuration and random numbers as
+/// arguments. It does nothing where discovery pushes the changes.
 #[derive(Default)]
 pub(crate) struct DiscoveryWatch {
-    /// When to poll next; `None` if changes arrive without another poll.
+    /// When to poll next; `None` if changes arrive without another poll. To be read through
+    /// [`DiscoveryWatch::next_poll_at`].
     pub next_poll_at: Option<Time>,
-    /// The latest backoff, s; 0 after a response.
-    backoff: f64,
+    backoff: PollBackoff,
     state: WatchState,
     /// The list contains every change that discovery had, and could be polled for, at this time.
     fresh_at: Time,
@@ -77,107 +79,107 @@
 
 impl DiscoveryWatch {
     /// Schedules the first poll as early as possible, unless changes are pushed.
-    pub fn new(cfg: &Config) -> DiscoveryWatch {
-        let next_poll_at = (cfg.discovery != DiscoveryMode::Push).then_some(Time(0));
+    pub fn new(config: &Config) -> DiscoveryWatch {
+        let next_poll_at = match config.discovery {
+            DiscoveryMode::Push => None,
+            DiscoveryMode::Watch { .. } => Some(AT_ONCE),
+        };
         DiscoveryWatch {
             next_poll_at,
             ..DiscoveryWatch::default()
         }
     }
 
+    /// When to poll next; `None` if changes arrive without another poll.
+    pub fn next_poll_at(&self) -> Option<Time> {
+        self.next_poll_at
+    }
+
     /// The process started, with or without a cached list: spreads the first polls of many proxies
-    /// that may start at the same time. `draw` gives a random number from 0 to 1.
+    /// that may start at the same time. `draw` gives a random number from 0 to 1; it is only called
+    /// if the polls have to be spread.
     pub fn on_process_started(
         &mut self,
         now: Time,
-        cfg: &Config,
-        cached: bool,
+        config: &Config,
+        has_cached_list: bool,
         draw: impl FnOnce() -> f64,
     ) {
-        let DiscoveryMode::Watch { poll_within } = cfg.discovery else {
+        let DiscoveryMode::Watch { poll_within } = config.discovery else {
             return;
         };
-        if self.next_poll_at != Some(Time(0)) || !must_spread_polls(cfg) {
+        let is_first_poll_open = self.next_poll_at() == Some(AT_ONCE);
+        if !is_first_poll_open || !must_spread_polls(config) {
             return;
         }
-        let without_list = (f64::from(cfg.proxy_count) * EMPTY_START_SERVICE_TIME)
-            .min(poll_within.secs() * FIRST_POLL_DEADLINE_FRACTION);
-        let spread = if cached {
-            poll_spread(cfg)
+        let spread_secs = if has_cached_list {
+            poll_spread_secs(config)
         } else {
-            without_list
+            empty_start_spread_secs(config, poll_within)
         };
-        self.next_poll_at = Some(now + Micros::from_secs(spread * draw()));
+        self.next_poll_at = Some(now + Micros::from_secs(spread_secs * draw()));
     }
 
     /// A poll or an established watch failed: schedules the next poll. `random` is a number from 0
     /// to 1.
-    pub fn on_watch_failed(&mut self, now: Time, cfg: &Config, random: f64) {
-        let DiscoveryMode::Watch { poll_within } = cfg.discovery else {
+    pub fn on_watch_failed(&mut self, now: Time, config: &Config, random: f64) {
+        let DiscoveryMode::Watch { poll_within } = config.discovery else {
             return;
         };
-        let failed = if self.is_watching(now) {
-            WatchState::Established
-        } else {
-            self.state
-        };
+        let failure = self.classify_failure(now);
         self.state = WatchState::Disconnected;
-        self.fresh_at = match failed {
-            // Changes that discovery had while it was unreachable count from its return.
-            WatchState::Connecting(since) if now - since < MIN_QUEUEING_TIME => since,
-            WatchState::Established => now,
-            _ => self.fresh_at,
-        };
-        let must_spread = must_spread_polls(cfg);
-        let delay = match failed {
-            WatchState::Connecting(since) if must_spread && now - since >= MIN_QUEUEING_TIME => {
-                self.next_queue_backoff(cfg) * random
+        self.extend_freshness(now, failure);
+        let delay = match failure {
+            PollFailure::Queued if must_spread_polls(config) => {
+                self.backoff.after_queueing(config, random)
+            }
+            // All proxies may have lost their watches at the same time.
+            PollFailure::WatchBroken if must_spread_polls(config) => {
+                Micros::from_secs(poll_spread_secs(config) * random)
             }
-            // An established watch was in no queue, and all proxies may have lost theirs at the
-            // same time.
-            WatchState::Established if must_spread => poll_spread(cfg) * random,
-            _ => self.next_rejection_backoff(cfg, poll_within) * (1.0 - BACKOFF_JITTER * random),
+            _ => self.backoff.after_rejection(config, poll_within, random),
         };
-        self.next_poll_at = Some(now + Micros::from_secs(delay));
+        self.next_poll_at = Some(now + delay);
     }
 
-    /// The backoff, s, after a poll that failed in the service's queue. All such polls are repeated
-    /// within the time in which the queue empties, even if the list goes stale: sooner, they would
-    /// keep it full.
-    fn next_queue_backoff(&mut self, cfg: &Config) -> f64 {
-        let round = poll_round(cfg);
-        self.backoff = (self.backoff * 2.0).clamp(round * FIRST_QUEUE_BACKOFF_ROUNDS, round);
-        self.backoff
+    /// What a failure at this time shows, by the state of the latest poll.
+    fn classify_failure(&self, now: Time) -> PollFailure {
+        if self.is_watching(now) {
+            return PollFailure::WatchBroken;
+        }
+        let WatchState::Connecting { sent_at } = self.state else {
+            return PollFailure::NothingPending;
+        };
+        if now - sent_at < MIN_QUEUEING_TIME {
+            PollFailure::Rejected { sent_at }
+        } else {
+            PollFailure::Queued
+        }
     }
 
-    /// The backoff, s, after a rejected poll: short at first, as one poll may be reset by chance.
-    /// Where many are rejected, a slow increase would only mean more polls a second than a
-    /// returning service can take.
-    fn next_rejection_backoff(&mut self, cfg: &Config, poll_within: Micros) -> f64 {
-        let by_proxy_count = f64::from(cfg.proxy_count) * MAX_BACKOFF_PER_PROXY;
-        let by_setting = poll_within.secs() * MAX_BACKOFF_FRACTION;
-        let longest = by_setting
-            .max(by_proxy_count)
-            .clamp(MIN_BACKOFF, POLL_DEADLINE);
-        let is_widespread = must_spread_polls(cfg) && self.backoff > 0.0;
-        let increased = if is_widespread {
-            longest
-        } else {
-            self.backoff * 2.0
-        };
-        self.backoff = increased.clamp(MIN_BACKOFF, longest);
-        self.backoff
+    /// Takes in what a failure says about the freshness of the list.
+    fn extend_freshness(&mut self, now: Time, failure: PollFailure) {
+        match failure {
+            // Discovery was unreachable when the poll was sent. The deadline for changes that it
+            // has while it is unreachable only starts when it returns.
+            PollFailure::Rejected { sent_at } => self.fresh_at = sent_at,
+            // Up to now the watch would have reported any change.
+            PollFailure::WatchBroken => self.fresh_at = now,
+            PollFailure::Queued | PollFailure::NothingPending => {}
+        }
     }
 
-    /// A watch timed out without a response: schedules the next poll at once. The timeout shows
-    /// nothing about the service, and the changes that the watch missed count as notified shortly
-    /// after it. Timeouts differ between proxies, so that those whose watches stall together do not
-    /// poll together.
-    pub fn on_watch_timed_out(&mut self, now: Time, cfg: &Config) {
-        let DiscoveryMode::Watch { .. } = cfg.discovery else {
+    /// A watch timed out without a response: schedules the next poll at once.
+    ///
+    /// The timeout shows nothing about the service. The changes that the watch missed count as
+    /// notified shortly after it, so the proxy has to poll before that. The polls need not be
+    /// spread: timeouts differ between proxies, so those whose watches stall together do not poll
+    /// together.
+    pub fn on_watch_timed_out(&mut self, now: Time, config: &Config) {
+        if config.discovery == DiscoveryMode::Push {
             return;
-        };
-        if self.is_fresh(now, cfg) {
+        }
+        if self.is_fresh(now, config) {
             let fresh_until = now + WATCH_TIMEOUT_GRACE;
             self.fresh_at = Time(fresh_until.0.saturating_sub(NOTIFICATION_DEADLINE.0));
         }
@@ -189,25 +191,23 @@
     pub fn on_endpoints_received(&mut self, now: Time) {
         self.state = WatchState::Established;
         self.fresh_at = now;
-        self.backoff = 0.0;
+        self.backoff.reset();
         self.next_poll_at = None;
     }
 
     /// Whether to poll now; if so, the poll counts as sent.
-    pub fn take_due_poll(&mut self, now: Time, cfg: &Config) -> bool {
-        let DiscoveryMode::Watch { poll_within } = cfg.discovery else {
+    pub fn take_due_poll(&mut self, now: Time, config: &Config) -> bool {
+        let DiscoveryMode::Watch { poll_within } = config.discovery else {
             return false;
         };
-        if self.fresh_at == Time(0) {
-            self.fresh_at = now; // the first call: the process has just started
+        if self.fresh_at == NOT_STARTED {
+            self.fresh_at = now;
         }
-        let is_due = self.next_poll_at.is_some_and(|at| now >= at);
+        let is_due = self.next_poll_at().is_some_and(|at| now >= at);
         if is_due {
-            let is_first = matches!(self.state, WatchState::Disconnected);
-            self.state = if is_first {
-                WatchState::Connecting(now)
-            } else {
-                WatchState::Established
+            self.state = match self.state {
+                WatchState::Disconnected => WatchState::Connecting { sent_at: now },
+                WatchState::Connecting { .. } | WatchState::Established => WatchState::Established,
             };
             self.next_poll_at = Some(now + poll_within.times(POLL_TIMEOUT_FRACTION));
         }
@@ -215,32 +215,21 @@
     }
 
     /// Whether the list contains every change that this proxy counts as notified of.
-    pub fn is_fresh(&self, now: Time, cfg: &Config) -> bool {
-        let is_pushed = cfg.discovery == DiscoveryMode::Push;
+    pub fn is_fresh(&self, now: Time, config: &Config) -> bool {
+        let is_pushed = config.discovery == DiscoveryMode::Push;
         is_pushed || self.is_watching(now) || now - self.fresh_at < NOTIFICATION_DEADLINE
     }
 
-    /// Whether the latest poll waits for a change: it was answered, or has passed any queue.
+    /// Whether the latest poll waits for a change: it was answered, or has left the service's
+    /// queue.
     fn is_watching(&self, now: Time) -> bool {
         match self.state {
             WatchState::Established => true,
-            WatchState::Connecting(since) => now - since >= MAX_QUEUEING_TIME,
+            WatchState::Connecting { sent_at } => now - sent_at >= MAX_QUEUEING_TIME,
             WatchState::Disconnected => false,
         }
     }
 }
 
-/// Whether there are so many proxies that they must not poll at the same time.
-fn must_spread_polls(cfg: &Config) -> bool {
-    cfg.proxy_count > MAX_SIMULTANEOUS_POLLS
-}
-
-/// The poll round, s: the time that the service needs for one poll of every proxy.
-fn poll_round(cfg: &Config) -> f64 {
-    f64::from(cfg.proxy_count) * POLL_SERVICE_TIME
-}
-
-/// The time over which all proxies spread the polls that one event causes, s.
-fn poll_spread(cfg: &Config) -> f64 {
-    poll_round(cfg).min(POLL_DEADLINE)
-}
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer/src/discovery_watch/tests.rs
@@ -0,0 +1,117 @@
+use super::*;
+
+const POLL_WITHIN: Micros = Micros(10_000_000);
+const START: Time = Time(1_000_000_000);
+
+/// One of so many proxies that watch discovery.
+fn watching(proxy_count: u32) -> Config {
+    Config {
+        proxy_count,
+        discovery: DiscoveryMode::Watch {
+            poll_within: POLL_WITHIN,
+        },
+        ..Config::example()
+    }
+}
+
+fn millis_after_start(millis: u64) -> Time {
+    START + Micros(millis * 1_000)
+}
+
+/// A watch whose first poll has been sent at the start.
+fn polling(config: &Config) -> DiscoveryWatch {
+    let mut watch = DiscoveryWatch::new(config);
+    assert!(watch.take_due_poll(START, config));
+    watch
+}
+
+#[test]
+fn nothing_is_polled_where_changes_are_pushed() {
+    let config = Config {
+        discovery: DiscoveryMode::Push,
+        ..Config::example()
+    };
+    let mut watch = DiscoveryWatch::new(&config);
+    assert_eq!(watch.next_poll_at(), None);
+    assert!(!watch.take_due_poll(START, &config));
+    watch.on_watch_failed(START, &config, 0.5);
+    watch.on_watch_timed_out(START, &config);
+    assert_eq!(watch.next_poll_at(), None);
+    assert!(watch.is_fresh(millis_after_start(3_600_000), &config));
+}
+
+#[test]
+fn a_poll_without_a_response_is_repeated_after_half_of_poll_within() {
+    let config = watching(4);
+    let mut watch = polling(&config);
+    assert!(!watch.take_due_poll(millis_after_start(4_999), &config));
+    assert!(watch.take_due_poll(millis_after_start(5_000), &config));
+}
+
+#[test]
+fn the_list_goes_stale_six_seconds_after_the_start_unless_a_poll_waits_for_a_change() {
+    let config = watching(4);
+    let mut watch = polling(&config);
+    watch.on_watch_failed(millis_after_start(2_000), &config, 0.5);
+    assert!(watch.is_fresh(millis_after_start(5_999), &config));
+    assert!(!watch.is_fresh(millis_after_start(6_000), &config));
+    let watch = polling(&config);
+    assert!(watch.is_fresh(millis_after_start(60_000), &config));
+}
+
+#[test]
+fn a_rejected_poll_keeps_the_list_fresh_for_six_seconds_after_it_was_sent() {
+    let config = watching(4);
+    let mut watch = polling(&config);
+    watch.on_watch_failed(millis_after_start(10), &config, 0.0);
+    assert_eq!(watch.next_poll_at(), Some(millis_after_start(110)));
+    assert!(watch.take_due_poll(millis_after_start(110), &config));
+    watch.on_watch_failed(millis_after_start(120), &config, 0.0);
+    assert!(watch.is_fresh(millis_after_start(6_109), &config));
+    assert!(!watch.is_fresh(millis_after_start(6_110), &config));
+}
+
+#[test]
+fn a_broken_watch_is_reopened_within_five_seconds_by_a_large_fleet() {
+    let config = watching(1_000);
+    let mut watch = polling(&config);
+    watch.on_endpoints_received(millis_after_start(10));
+    assert_eq!(watch.next_poll_at(), None);
+    watch.on_watch_failed(millis_after_start(20_000), &config, 0.5);
+    assert_eq!(watch.next_poll_at(), Some(millis_after_start(22_500)));
+    assert!(watch.is_fresh(millis_after_start(25_999), &config));
+    assert!(!watch.is_fresh(millis_after_start(26_000), &config));
+}
+
+#[test]
+fn a_watch_that_timed_out_polls_at_once_and_stays_fresh_for_a_moment() {
+    let config = watching(1_000);
+    let mut watch = polling(&config);
+    watch.on_endpoints_received(millis_after_start(10));
+    watch.on_watch_timed_out(millis_after_start(20_000), &config);
+    assert_eq!(watch.next_poll_at(), Some(millis_after_start(20_000)));
+    assert!(watch.is_fresh(millis_after_start(21_499), &config));
+    assert!(!watch.is_fresh(millis_after_start(21_500), &config));
+}
+
+#[test]
+fn many_proxies_spread_their_first_polls() {
+    let first_poll_after = |proxy_count, has_cached_list| {
+        let config = watching(proxy_count);
+        let mut watch = DiscoveryWatch::new(&config);
+        watch.on_process_started(START, &config, has_cached_list, || 0.5);
+        watch.next_poll_at().expect("a poll") - START
+    };
+    assert_eq!(first_poll_after(20, true), Micros(800_000));
+    assert_eq!(first_poll_after(1_000, true), Micros(2_500_000));
+    assert_eq!(first_poll_after(20, false), Micros(250_000));
+    assert_eq!(first_poll_after(1_000, false), Micros(4_000_000));
+}
+
+#[test]
+fn few_proxies_poll_at_once_and_draw_no_random_number() {
+    let config = watching(4);
+    let mut watch = DiscoveryWatch::new(&config);
+    watch.on_process_started(START, &config, true, || panic!("a draw"));
+    assert!(watch.take_due_poll(START, &config));
+}
