--- a/crates/balancer/src/backends/speed.rs
+++ b/crates/balancer/src/backends/speed.rs
@@ -87,7 +87,7 @@
         // The estimate is smoothed, because the flow is only this proxy's own view of it. Without
         // smoothing, a machine type with a large share would look ever faster, and the proxies
         // would oscillate together.
-        let weight = if self.latency.count < MIN_SAMPLES_TO_SMOOTH {
+        let weight = if self.latency.count() < MIN_SAMPLES_TO_SMOOTH {
             1.0
         } else {
             (elapsed / SPEED_MEMORY).min(1.0)
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -149,7 +149,7 @@
         endpoints: Vec<Endpoint>,
     ) {
         self.update_discovery_watch(now, update, &endpoints);
-        if let Some(poll_at) = self.discovery_watch.next_poll_at {
+        if let Some(poll_at) = self.discovery_watch.next_poll_at() {
             self.wakeups.wake_by(poll_at);
         }
         let SubsetUpdate { update, endpoints } =
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -10,9 +10,6 @@
 use crate::routing::{SharePlan, SlowStartPlan, ZoneFactors};
 use crate::{Action, Time};
 
-/// A time that never comes.
-const NEVER: Time = Time(u64::MAX);
-
 impl Balancer {
     /// Computes readiness, shares and limits anew.
     pub(super) fn recompute_shares(&mut self, now: Time) {
@@ -70,7 +67,7 @@
         if self.discovery_watch.take_due_poll(now, &self.config) {
             self.outbox.push(Action::WatchEndpoints);
         }
-        if let Some(poll_at) = self.discovery_watch.next_poll_at {
+        if let Some(poll_at) = self.discovery_watch.next_poll_at() {
             self.wakeups.wake_by(poll_at);
         }
     }
@@ -108,7 +105,7 @@
     pub(super) fn check_requests(&mut self, now: Time) {
         let mut overdue = Vec::new();
         let mut lost = Vec::new();
-        let mut next_check_at = NEVER;
+        let mut next_check_at = Time::NEVER;
         for (id, request) in self.requests.iter() {
             if request.streaming {
                 continue;
--- a/crates/balancer/src/discovery_watch.rs
+++ b/crates/balancer/src/discovery_watch.rs
@@ -69,7 +69,7 @@
 pub(crate) struct DiscoveryWatch {
     /// When to poll next; `None` if changes arrive without another poll. To be read through
     /// [`DiscoveryWatch::next_poll_at`].
-    pub next_poll_at: Option<Time>,
+    next_poll_at: Option<Time>,
     backoff: PollBackoff,
     state: WatchState,
     /// The list contains every change that discovery had, and could be polled for, at this time.
--- a/crates/balancer/src/estimation/estimators.rs
+++ b/crates/balancer/src/estimation/estimators.rs
@@ -8,11 +8,11 @@
 /// Time that a rate estimate covers, 2 s. It is long enough for some hundred arrivals, and short
 /// compared with a slow start or a failure.
 pub(crate) const RATE_MEMORY: f64 = 2.0;
-/// A rate is known once [`RATE_MEMORY`] divided by this has been observed: 0.1 s.
-const MEMORY_PER_MIN_OBSERVED: f64 = 20.0;
+/// Observed time from which a rate is known, 0.1 s.
+const MIN_OBSERVED_SECS: f64 = RATE_MEMORY / 20.0;
 /// Time that a time-weighted mean covers, 1 s. It is long enough for some tens of requests, and
 /// shorter than the time in which a backend becomes overloaded.
-const LEVEL_MEMORY: f64 = 1.0;
+const TIME_WEIGHTED_MEMORY: f64 = 1.0;
 
 /// Smallest divisor: keeps quotients of estimates finite.
 pub(crate) const EPSILON: f64 = 1e-9;
@@ -22,10 +22,8 @@
 /// It owns the mean and the number of samples. It takes the samples as arguments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
-    /// To be read through [`RunningMean::value`].
-    pub value: f64,
-    /// To be read through [`RunningMean::count`].
-    pub count: f64,
+    value: f64,
+    count: f64,
 }
 
 impl RunningMean {
@@ -87,8 +85,7 @@
 
     /// Events per second; `None` until a twentieth of [`RATE_MEMORY`] has been observed.
     pub fn per_s(&self) -> Option<f64> {
-        let min_observed_secs = RATE_MEMORY / MEMORY_PER_MIN_OBSERVED;
-        if self.observed_secs <= min_observed_secs {
+        if self.observed_secs <= MIN_OBSERVED_SECS {
             return None;
         }
         Some(self.events / self.observed_secs)
@@ -100,8 +97,7 @@
 /// It owns the mean and the time of the last update. It takes the time and the count as arguments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TimeWeightedMean {
-    /// To be read through [`TimeWeightedMean::value`].
-    pub value: f64,
+    value: f64,
     updated_at: Time,
 }
 
@@ -109,7 +105,7 @@
     /// Takes in that the count has been `count` from the last update until `now`.
     pub fn advance(&mut self, now: Time, count: f64) {
         let elapsed_secs = (now - self.updated_at).secs();
-        let kept_fraction = (-elapsed_secs / LEVEL_MEMORY).exp();
+        let kept_fraction = (-elapsed_secs / TIME_WEIGHTED_MEMORY).exp();
         self.value = self.value() * kept_fraction + count * (1.0 - kept_fraction);
         self.updated_at = now;
     }
--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -62,7 +62,7 @@
     /// latency shows it.
     pub fn relative_work(&self, class: ClassId) -> f64 {
         match self.classes[class.0].observed.get() {
-            Some(seconds) => seconds / self.overall.value,
+            Some(seconds) => seconds / self.overall.value(),
             None => 1.0,
         }
     }
@@ -92,6 +92,6 @@
         let own = &mut self.classes[class.0].observed;
         own.add(seconds);
         self.overall.add(seconds);
-        seconds * self.overall.value / own.value
+        seconds * self.overall.value() / own.value()
     }
 }
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -6,8 +6,8 @@
 /// gets them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a request. Its number is that of the request's earlier attempts;
-    /// it may last until the client gives up.
+    /// Start the next attempt of a request. Its number is the count of the request's earlier
+    /// attempts; it may last until the client gives up.
     Dispatch {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -14,7 +14,11 @@
         /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request arrived; it gets exactly one final response.
+    /// A client's request arrived. The balancer returns one
+    /// [`Action::Reject`](crate::Action::Reject) or [`Action::Fail`](crate::Action::Fail) for it,
+    /// unless an attempt succeeds, whose response the host forwards, the host reports it as
+    /// settled, or its client disconnects. A request with an unknown class or the id of an open
+    /// request is ignored.
     Request(Arrival),
     /// The response is being streamed to the client: the attempt has no timeout any more.
     StreamStarted {
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,5 +1,8 @@
-//! Identifiers. Except for timer tokens and attempt numbers, the host assigns them and the balancer
-//! only compares them.
+//! Identifiers.
+//!
+//! The host assigns all of them except timer tokens and attempt numbers. Backend ids must be the
+//! same in all proxies: slow-start quotas, concurrency limits and subsets are computed from them.
+//! Class and tenant ids are indexes into the configuration. The balancer only compares all others.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
--- a/crates/balancer/src/interface/time.rs
+++ b/crates/balancer/src/interface/time.rs
@@ -12,6 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub u64);
 
+impl Time {
+    /// A time that never comes.
+    pub const NEVER: Time = Time(u64::MAX);
+}
+
 impl Add<Micros> for Time {
     type Output = Time;
 
--- a/crates/balancer/src/random.rs
+++ b/crates/balancer/src/random.rs
@@ -6,12 +6,20 @@
 /// Number of values that [`Rng::unit`] can return: 2 to the power of 32.
 const UNIT_STEPS: f64 = 4_294_967_296.0;
 
+/// An item with the weight by which it is drawn.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Weighted<T> {
+    pub item: T,
+    pub weight: f64,
+}
+
 /// A random number generator that gives the same sequence on every machine for the same seed.
 ///
 /// It owns the state of the generator. Each draw takes exactly one number from the sequence.
 pub(crate) struct Rng(Pcg32);
 
 impl Rng {
+    /// A generator for this seed.
     pub fn new(seed: u64) -> Rng {
         Rng(Pcg32::seed_from_u64(seed))
     }
@@ -21,20 +29,20 @@
         f64::from(self.0.next_u32()) / UNIT_STEPS
     }
 
-    /// Draws one of the items, each with a probability in proportion to its weight; `None` if there
-    /// are no items.
-    pub fn pick_weighted<T: Copy>(&mut self, items: &[(T, f64)]) -> Option<T> {
-        let total_weight = items.iter().map(|(_, weight)| weight).sum::<f64>();
+    /// Draws one of the items, each with a probability in proportion to its weight. `None` if there
+    /// are no items; the last item if all weights are 0.
+    pub fn pick_weighted<T: Copy>(&mut self, items: &[Weighted<T>]) -> Option<T> {
+        let total_weight: f64 = items.iter().map(|candidate| candidate.weight).sum();
         let mut remaining = self.unit() * total_weight;
-        for (item, weight) in items {
-            remaining -= weight;
+        for candidate in items {
+            remaining -= candidate.weight;
             if remaining < 0.0 {
-                return Some(*item);
+                return Some(candidate.item);
             }
         }
         // All weights are 0, or rounding has left a rest.
-        let (last_item, _) = items.last()?;
-        Some(*last_item)
+        let last = items.last()?;
+        Some(last.item)
     }
 }
 
--- a/crates/balancer/src/random/tests.rs
+++ b/crates/balancer/src/random/tests.rs
@@ -2,6 +2,10 @@
 
 const DRAWS: u32 = 10_000;
 
+fn weighted<T>(item: T, weight: f64) -> Weighted<T> {
+    Weighted { item, weight }
+}
+
 #[test]
 fn the_same_seed_gives_the_same_sequence() {
     let mut first = Rng::new(7);
@@ -28,7 +32,11 @@
 #[test]
 fn items_are_drawn_in_proportion_to_their_weights() {
     let mut rng = Rng::new(2);
-    let items = [("rare", 1.0), ("never", 0.0), ("often", 3.0)];
+    let items = [
+        weighted("rare", 1.0),
+        weighted("never", 0.0),
+        weighted("often", 3.0),
+    ];
     let mut rare = 0;
     for _ in 0..DRAWS {
         let item = rng.pick_weighted(&items).expect("an item");
@@ -43,7 +51,7 @@
 fn the_last_item_is_drawn_if_no_item_has_a_weight() {
     let mut rng = Rng::new(3);
     assert_eq!(
-        rng.pick_weighted(&[("first", 0.0), ("last", 0.0)]),
+        rng.pick_weighted(&[weighted("first", 0.0), weighted("last", 0.0)]),
         Some("last")
     );
     assert_eq!(rng.pick_weighted::<u32>(&[]), None);
@@ -54,7 +62,7 @@
     let mut drawing = Rng::new(4);
     let mut reference = Rng::new(4);
     drawing.pick_weighted::<u32>(&[]);
-    drawing.pick_weighted(&[(1, 1.0), (2, 1.0)]);
+    drawing.pick_weighted(&[weighted(1, 1.0), weighted(2, 1.0)]);
     reference.unit();
     reference.unit();
     assert_eq!(drawing.unit(), reference.unit());
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -60,7 +60,7 @@
             Priority::Normal => self.momentary,
             Priority::Low => self.momentary * LOW_PRIORITY_CAPACITY_FRACTION,
         };
-        let is_high_for_long = self.recent.value > self.sustained && in_flight >= self.sustained;
+        let is_high_for_long = self.recent.value() > self.sustained && in_flight >= self.sustained;
         in_flight < limit && !is_high_for_long
     }
 }
--- a/crates/balancer/src/routing/picker.rs
+++ b/crates/balancer/src/routing/picker.rs
@@ -3,7 +3,7 @@
 use crate::backends::{Backend, BackendTable};
 use crate::discovery_watch::{DiscoveryWatch, NOTIFICATION_DEADLINE};
 use crate::estimation::LatencyEstimates;
-use crate::random::Rng;
+use crate::random::{Rng, Weighted};
 use crate::requests::Request;
 use crate::retry::RetryPolicy;
 use crate::{BackendId, Config, MachineTypeId, Time};
@@ -67,11 +67,15 @@
         rng.pick_weighted(&self.shares_of_available_backends())
     }
 
-    fn shares_of_machine_types(&self) -> Vec<(MachineTypeId, f64)> {
-        let machine_types = self.backends.machine_types();
-        machine_types
-            .map(|(id, machine_type)| (id, machine_type.local_share()))
-            .collect()
+    fn shares_of_machine_types(&self) -> Vec<Weighted<MachineTypeId>> {
+        let mut shares = Vec::new();
+        for (id, machine_type) in self.backends.machine_types() {
+            shares.push(Weighted {
+                item: id,
+                weight: machine_type.local_share(),
+            });
+        }
+        shares
     }
 
     /// The backend of a machine type at a position of its shares, if the request may go there.
@@ -82,14 +86,17 @@
         self.is_available(backend).then_some(id)
     }
 
-    fn shares_of_available_backends(&self) -> Vec<(BackendId, f64)> {
-        let mut available = Vec::new();
+    fn shares_of_available_backends(&self) -> Vec<Weighted<BackendId>> {
+        let mut shares = Vec::new();
         for (id, backend) in self.backends.iter() {
             if self.is_available(backend) {
-                available.push((id, backend.local_share()));
+                shares.push(Weighted {
+                    item: id,
+                    weight: backend.local_share(),
+                });
             }
         }
-        available
+        shares
     }
 
     /// Whether the backend may be sent this request and has capacity for it. An overloaded backend
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -7,7 +7,7 @@
 mod key;
 mod names;
 
-pub use error::{InvalidValue, SettingsError};
+pub use error::InvalidValue;
 pub use key::Key;
 pub use names::{stable_id, Names};
 
--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -37,6 +37,3 @@
         }
     }
 }
-
-/// The former name of [`InvalidValue`].
-pub type SettingsError = InvalidValue;
--- a/crates/balancer/src/wakeups.rs
+++ b/crates/balancer/src/wakeups.rs
@@ -3,9 +3,6 @@
 
 use crate::{Action, Micros, Time, TimerToken};
 
-/// A time that never comes.
-const NEVER: Time = Time(u64::MAX);
-
 /// When something is next to be done without an event, and the pending timer.
 ///
 /// It owns both. The host may have several timers, of which only the newest counts.
@@ -46,7 +43,7 @@
     pub fn take_due(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_wakeup;
         if is_due {
-            self.next_wakeup = NEVER;
+            self.next_wakeup = Time::NEVER;
         }
         is_due
     }
@@ -55,7 +52,7 @@
     /// timer is early enough or no wake-up is scheduled. No timer is shorter than a tick.
     pub fn arm_timer(&mut self, now: Time, tick: Micros) -> Option<Action> {
         let is_covered = self.pending_wakeup.is_some_and(|at| at <= self.next_wakeup);
-        if is_covered || self.next_wakeup == NEVER {
+        if is_covered || self.next_wakeup == Time::NEVER {
             return None;
         }
         self.newest_token = TimerToken(self.newest_token.0 + 1);
--- a/crates/fleet-simulator/src/failure.rs
+++ b/crates/fleet-simulator/src/failure.rs
@@ -1,6 +1,6 @@
 //! Why a command did not succeed, and the exit code that says so.
 
-use brookstack_balancer::settings::SettingsError;
+use brookstack_balancer::settings::InvalidValue;
 use brookstack_balancer::ConfigError;
 use std::error::Error as StdError;
 use std::io;
@@ -78,7 +78,7 @@
     },
     /// The balancer can't read the settings that were made of the options.
     #[error(transparent)]
-    Settings(#[from] SettingsError),
+    Settings(#[from] InvalidValue),
     /// The balancer does not accept the configuration that was made of the options.
     #[error(transparent)]
     Config(#[from] ConfigError),
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,7 +1,7 @@
 //! Why a configuration file cannot be used.
 
 use super::CONFIG_VARIABLE;
-use brookstack_balancer::settings::SettingsError;
+use brookstack_balancer::settings::InvalidValue;
 use brookstack_balancer::ConfigError;
 use std::io;
 use std::path::PathBuf;
@@ -34,7 +34,7 @@
     InvalidDocument(serde_json::Error),
     /// A value is missing or not what is expected.
     #[error(transparent)]
-    InvalidValue(#[from] SettingsError),
+    InvalidValue(#[from] InvalidValue),
     /// The settings of the balancer are out of their ranges.
     #[error("settings.{0}")]
     OutOfRange(#[from] ConfigError),
--- a/crates/proxy/src/driver/balancer_host.rs
+++ b/crates/proxy/src/driver/balancer_host.rs
@@ -7,9 +7,6 @@
 };
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// A time that never comes.
-const NEVER: Time = Time(u64::MAX);
-
 /// The balancer panicked while it handled an event.
 #[derive(Debug, thiserror::Error)]
 #[error("the balancer panicked")]
@@ -59,7 +56,7 @@
     /// When the balancer next has something to handle if no more events are reported.
     pub fn next_due(&self) -> Time {
         if self.events.is_empty() {
-            self.timers.next_expiry().unwrap_or(NEVER)
+            self.timers.next_expiry().unwrap_or(Time::NEVER)
         } else {
             self.next_tick
         }
--- a/crates/proxy/src/driver/balancer_host/tests.rs
+++ b/crates/proxy/src/driver/balancer_host/tests.rs
@@ -34,7 +34,7 @@
             Event::Timer { token: TOKEN }
         ]
     );
-    assert_eq!(host.next_due(), NEVER);
+    assert_eq!(host.next_due(), Time::NEVER);
 }
 
 #[test]
@@ -48,5 +48,5 @@
         endpoints: Vec::new(),
     };
     assert_eq!(host.start_tick(Time(1_000_000)), [endpoint_list]);
-    assert_eq!(host.next_due(), NEVER);
+    assert_eq!(host.next_due(), Time::NEVER);
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the adapter. Each says where it occurred, what was expected and what was found.
 
-use brookstack_balancer::settings::SettingsError;
+use brookstack_balancer::settings::InvalidValue;
 use brookstack_balancer::ConfigError;
 use serde_json::Value;
 use std::io;
@@ -102,7 +102,7 @@
 pub enum InvalidSettings {
     /// A key is missing or has an invalid value. The text of the error names the key.
     #[error(transparent)]
-    Unreadable(#[from] SettingsError),
+    Unreadable(#[from] InvalidValue),
     /// Every key could be read, but the balancer rejects the configuration.
     #[error(transparent)]
     Rejected(#[from] ConfigError),
