--- /dev/null
+++ b/crates/fleet-simulator/src/real/setup.rs
@@ -0,0 +1,36 @@
+//! What a cell is run with.
+
+use crate::world::DiscoveryMode;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// What a cell is run with.
+#[derive(Clone, Debug)]
+pub struct Setup {
+    /// The proxy's program.
+    pub program: PathBuf,
+    /// Backends in the list.
+    pub backends: usize,
+    /// Tenants in the settings.
+    pub tenants: usize,
+    /// How the proxy learns the list.
+    pub discovery_mode: DiscoveryMode,
+    /// The configuration holds the list, as after a restart; else it has to come from discovery.
+    pub list_is_known: bool,
+    /// Which of the 1,100 proxies it is.
+    pub proxy_index: u32,
+    /// Listeners that stand for the backends.
+    pub listeners: usize,
+    /// Requests a second.
+    pub requests_per_second: f64,
+    /// A backend's time for a request.
+    pub service_time: Duration,
+    /// How long the proxy idles.
+    pub idle_duration: Duration,
+    /// How long the load lasts, in two equal parts.
+    pub load_duration: Duration,
+    /// A connection that has been idle for this long is closed, s.
+    pub connection_idle_secs: f64,
+    /// The seed of arrival times and tenants.
+    pub seed: u64,
+}
--- a/crates/fleet-simulator/src/real/startup.rs
+++ b/crates/fleet-simulator/src/real/startup.rs
@@ -4,7 +4,7 @@
 use super::client;
 use super::discovery::Discovery;
 use super::process::{self, ProxyProcess};
-use super::Setup;
+use super::setup::Setup;
 use crate::failure::{Failure, MeasurementError};
 use crate::world::{self, Deployment, TARGET_PROXIES};
 use serde_json::{json, Value};
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -1,7 +1,6 @@
 //! The checks that the figures of every fleet have to pass.
 
-use super::figures::Figures;
-use serde::Serialize;
+use super::figures::{Check, Figures};
 
 /// The least fraction of the requests that has to be served.
 const MIN_SERVED_FRACTION: f64 = 0.98;
@@ -10,41 +9,6 @@
 /// Kinds with a lower mean load are left out of the check of the spread.
 const MIN_MEAN_LOAD: f64 = 1.0;
 
-/// A check of the figures.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Check {
-    /// What is checked.
-    pub name: &'static str,
-    /// Whether the figure keeps to its bound.
-    #[serde(rename = "holds")]
-    pub passed: bool,
-    /// The figure.
-    #[serde(rename = "got")]
-    pub measured: f64,
-    /// Its bound.
-    pub bound: f64,
-}
-
-impl Check {
-    fn at_most(name: &'static str, measured: f64, bound: f64) -> Check {
-        Check {
-            name,
-            passed: measured <= bound,
-            measured,
-            bound,
-        }
-    }
-
-    fn at_least(name: &'static str, measured: f64, bound: f64) -> Check {
-        Check {
-            name,
-            passed: measured >= bound,
-            measured,
-            bound,
-        }
-    }
-}
-
 /// The checks of these figures.
 pub fn checks(figures: &Figures) -> Vec<Check> {
     vec![
--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -2,8 +2,8 @@
 //! watches, and may have an outage.
 
 use super::messages::{Delivery, ProxyInput};
-use super::propagation::{ChangeLog, Outage, PropagationFigures};
-use super::scenario::BackendChange;
+use super::propagation::{ChangeLog, PropagationFigures};
+use super::timeline::{BackendChange, Outage};
 use brookstack_balancer::{Endpoint, EndpointUpdate, Micros, Time};
 use serde::Serialize;
 use std::collections::VecDeque;
--- a/crates/fleet-simulator/src/simulated/figures.rs
+++ b/crates/fleet-simulator/src/simulated/figures.rs
@@ -1,12 +1,11 @@
 //! The figures of a fleet's run.
 
 use super::backends::OutcomeCounts;
-use super::checks::Check;
 use super::cold_start::ColdStartFigures;
 use super::discovery::DiscoveryFigures;
 use super::load::Load;
 use super::proxy::RequestCounts;
-use super::Setup;
+use super::setup::Setup;
 use serde::Serialize;
 
 /// Attempts on backends that take no new requests, by proxies that had to know.
@@ -21,6 +20,43 @@
     pub after_deadline: u64,
 }
 
+/// The result of one check: a figure against its bound.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct Check {
+    /// What is checked.
+    pub name: &'static str,
+    /// Whether the figure keeps to its bound.
+    #[serde(rename = "holds")]
+    pub passed: bool,
+    /// The figure.
+    #[serde(rename = "got")]
+    pub measured: f64,
+    /// Its bound.
+    pub bound: f64,
+}
+
+impl Check {
+    /// A figure that may not exceed its bound.
+    pub(super) fn at_most(name: &'static str, measured: f64, bound: f64) -> Check {
+        Check {
+            name,
+            passed: measured <= bound,
+            measured,
+            bound,
+        }
+    }
+
+    /// A figure that may not fall below its bound.
+    pub(super) fn at_least(name: &'static str, measured: f64, bound: f64) -> Check {
+        Check {
+            name,
+            passed: measured >= bound,
+            measured,
+            bound,
+        }
+    }
+}
+
 /// All figures of a run: the same for the same setup, however many threads it ran on.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -1,6 +1,6 @@
 //! The record of the changes that discovery knows of, and of which proxy was notified of them when.
 
-use super::scenario::BackendChange;
+use super::timeline::{BackendChange, Outage};
 use crate::world;
 use brookstack_balancer::{BackendState, Endpoint, Micros, Time};
 use hdrhistogram::Histogram;
@@ -14,22 +14,6 @@
 /// The longest delay that the histogram resolves, us.
 const MAX_RECORDED_DELAY_MICROS: u64 = 3_600_000_000;
 
-/// The time over which discovery can't be reached.
-#[derive(Clone, Copy, Debug)]
-pub struct Outage {
-    /// Its first moment.
-    pub start: Time,
-    /// The first moment after it.
-    pub end: Time,
-}
-
-impl Outage {
-    /// Whether discovery is down at that time.
-    pub fn contains(&self, at: Time) -> bool {
-        self.start <= at && at < self.end
-    }
-}
-
 /// Whether an attempt on a backend that takes no new requests is a fault of the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lateness {
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -1,7 +1,7 @@
 //! What happens to a fleet: the changes of a scenario, made up before the run.
 
 use super::context::MeasurementWindow;
-use super::propagation::Outage;
+use super::timeline::{BackendChange, Outage, Timeline};
 use crate::world::ZONES;
 use brookstack_balancer::{BackendState, Micros, Time};
 use rand::seq::index::sample;
@@ -46,32 +46,6 @@
 /// The least rate that the generator of replacement times accepts.
 const MIN_REPLACEMENT_RATE: f64 = 1e-9;
 
-/// A change of one backend.
-#[derive(Clone, Copy, Debug)]
-pub struct BackendChange {
-    /// When it was made.
-    pub at: Time,
-    /// The number of the backend.
-    pub backend: u32,
-    /// The backend's state from then on.
-    pub state: BackendState,
-    /// When the backend last started; `None` means long ago.
-    pub started_at: Option<Time>,
-}
-
-/// What happens when.
-#[derive(Debug, Default)]
-pub struct Timeline {
-    /// Changes of backends, in the order of time.
-    pub changes: Vec<BackendChange>,
-    /// When discovery is down.
-    pub outage: Option<Outage>,
-    /// When all proxies restart.
-    pub restart_at: Option<Time>,
-    /// The restarted proxies hold the list from before all changes, not the newest one.
-    pub restart_with_first_list: bool,
-}
-
 /// What a scenario's timeline depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct TimelineSettings {
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -1,8 +1,7 @@
 //! A small fleet: its figures depend on nothing but its setup, and each check fails in a world with
 //! a matching fault.
 
-use brookstack_fleet_simulator::simulated::checks::Check;
-use brookstack_fleet_simulator::simulated::figures::Figures;
+use brookstack_fleet_simulator::simulated::figures::{Check, Figures};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
 
