--- /dev/null
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -0,0 +1,73 @@
+//! The lines that the commands print below their tables: failed checks, and cells whose figures a
+//! busy machine has disturbed.
+
+use super::real_table::cpu_wait;
+use super::scenario_name;
+use crate::real::cell::Cell;
+use crate::simulated::figures::Figures;
+use crate::simulated::FleetRun;
+
+/// A restarted proxy has to be ready within this time, s.
+const MAX_READY_SECS: f64 = 10.0;
+/// Where a cell had no core for more than this, % of the time, the machine has disturbed its times
+/// and stalls.
+const BUSY_PERCENT: f64 = 1.0;
+
+/// The checks on cells that failed, one a line. Rejected and slow requests fail no check, as the
+/// machine may have caused them.
+pub fn failed_cells(cells: &[Cell]) -> Vec<String> {
+    cells.iter().flat_map(failed_cell_checks).collect()
+}
+
+fn failed_cell_checks(cell: &Cell) -> Vec<String> {
+    let name = cell_name(cell);
+    let mut failed = Vec::new();
+    if cell.ready_secs > MAX_READY_SECS {
+        failed.push(format!("{name}: ready after {:.2} s", cell.ready_secs));
+    }
+    let unanswered = cell.not_served.no_response;
+    if unanswered > 0 {
+        failed.push(format!("{name}: {unanswered} requests without an answer"));
+    }
+    failed
+}
+
+fn cell_name(cell: &Cell) -> String {
+    format!("{} backends x {} tenants", cell.backends, cell.tenants)
+}
+
+/// The cells whose times a busy machine has disturbed, one a line.
+pub fn disturbed_cells(cells: &[Cell]) -> Vec<String> {
+    let disturbed = cells.iter().filter(|cell| is_disturbed(cell));
+    disturbed.map(disturbed_cell).collect()
+}
+
+fn is_disturbed(cell: &Cell) -> bool {
+    let waits = cell.cpu_wait_percent;
+    waits.into_iter().any(|percent| percent > BUSY_PERCENT)
+}
+
+fn disturbed_cell(cell: &Cell) -> String {
+    let name = cell_name(cell);
+    let waits = cpu_wait(cell);
+    format!("{name}: without a core for {waits} % of the time")
+}
+
+/// The checks on fleets that failed, one a line.
+pub fn failed_fleets(runs: &[FleetRun]) -> Vec<String> {
+    runs.iter()
+        .flat_map(|run| failed_fleet_checks(&run.figures))
+        .collect()
+}
+
+fn failed_fleet_checks(figures: &Figures) -> impl Iterator<Item = String> + '_ {
+    let setup = &figures.setup;
+    let scenario = scenario_name(setup.scenario);
+    let failed = figures.checks.iter().filter(|check| !check.passed);
+    failed.map(move |check| {
+        format!(
+            "{scenario}, {} x {}: {}: {} against {}",
+            setup.proxies, setup.backends, check.name, check.measured, check.bound
+        )
+    })
+}
--- /dev/null
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -0,0 +1,192 @@
+//! The table of the command `fleet`: one row a run.
+
+use super::scenario_name;
+use super::table::{Column, Table};
+use crate::simulated::load::{CountRange, Load};
+use crate::simulated::FleetRun;
+
+const COLUMNS: [Column<FleetRun>; 18] = [
+    Column {
+        title: "proxies x backends",
+        cell: size,
+    },
+    Column {
+        title: "scenario",
+        cell: |run| scenario_name(run.figures.setup.scenario),
+    },
+    Column {
+        title: "requests (a proxy and second)",
+        cell: arrived_requests,
+    },
+    Column {
+        title: "served, %",
+        cell: |run| format!("{:.2}", 100.0 * run.figures.served_fraction()),
+    },
+    Column {
+        title: "refused / failed / unanswered / cut",
+        cell: requests_not_served,
+    },
+    Column {
+        title: "answer p50 / p99, ms",
+        cell: latency,
+    },
+    Column {
+        title: "held before the first attempt p50 / p99, ms",
+        cell: queue_delay,
+    },
+    Column {
+        title: "largest load over mean in a kind (by chance)",
+        cell: |run| largest_load(&run.figures.load),
+    },
+    Column {
+        title: "spread of loads beyond chance, % of the mean",
+        cell: |run| excess_spread(&run.figures.load),
+    },
+    Column {
+        title: "backends a proxy used (least, mean, most)",
+        cell: |run| count_range(&run.figures.load.backends_per_proxy),
+    },
+    Column {
+        title: "proxies a backend was used by (least, mean, most)",
+        cell: |run| count_range(&run.figures.load.proxies_per_backend),
+    },
+    Column {
+        title: "new connections an attempt (1st, 2nd half)",
+        cell: |run| new_connections(&run.figures.load),
+    },
+    Column {
+        title: "cold: backends, worst window (N), part of its bound, attempts beyond",
+        cell: cold_starts,
+    },
+    Column {
+        title: "discovery: changes, calls, refused, queued too long",
+        cell: discovery_calls,
+    },
+    Column {
+        title: "told after p50 / p99 / longest, s; later than 6 s",
+        cell: notification_delay,
+    },
+    Column {
+        title: "sent to backends that leave: after told, after 6 s",
+        cell: late_attempts,
+    },
+    Column {
+        title: "state, KB a proxy",
+        cell: memory_per_proxy,
+    },
+    Column {
+        title: "wall, s (threads)",
+        cell: |run| format!("{:.1} ({})", run.cost.wall_secs, run.cost.threads),
+    },
+];
+
+/// The table of the fleets of simulated proxies.
+pub fn fleet_table(runs: &[FleetRun]) -> Table {
+    Table::of(&COLUMNS, runs)
+}
+
+fn size(run: &FleetRun) -> String {
+    let setup = &run.figures.setup;
+    format!("{} x {}", setup.proxies, setup.backends)
+}
+
+fn arrived_requests(run: &FleetRun) -> String {
+    let arrived = run.figures.requests.arrived;
+    let per_second = run.figures.setup.requests_per_second;
+    format!("{arrived} ({per_second:.1})")
+}
+
+fn requests_not_served(run: &FleetRun) -> String {
+    let counts = &run.figures.requests;
+    format!(
+        "{} / {} / {} / {}",
+        counts.rejected, counts.failed, counts.unanswered, counts.interrupted
+    )
+}
+
+fn latency(run: &FleetRun) -> String {
+    let figures = &run.figures;
+    format!(
+        "{:.0} / {:.0}",
+        figures.latency_p50_ms, figures.latency_p99_ms
+    )
+}
+
+fn queue_delay(run: &FleetRun) -> String {
+    let figures = &run.figures;
+    format!(
+        "{:.1} / {:.1}",
+        figures.queue_delay_p50_ms, figures.queue_delay_p99_ms
+    )
+}
+
+/// The largest load over the mean, of the kind for which it is largest.
+fn largest_load(load: &Load) -> String {
+    let least_even = load
+        .kinds
+        .iter()
+        .max_by(|a, b| a.largest_over_mean.total_cmp(&b.largest_over_mean));
+    let largest = least_even.map_or(0.0, |kind| kind.largest_over_mean);
+    let by_chance = least_even.map_or(0.0, |kind| kind.largest_by_chance);
+    format!("{largest:.2} ({by_chance:.2})")
+}
+
+fn excess_spread(load: &Load) -> String {
+    let spreads = load.kinds.iter().map(|kind| kind.excess_spread);
+    let largest = spreads.fold(0.0, f64::max);
+    format!("{:.0}", 100.0 * largest)
+}
+
+fn count_range(range: &CountRange) -> String {
+    format!("{}, {:.1}, {}", range.min, range.mean, range.max)
+}
+
+fn new_connections(load: &Load) -> String {
+    let [first_half, second_half] = load.new_connections_per_attempt;
+    format!("{first_half:.2}, {second_half:.2}")
+}
+
+fn cold_starts(run: &FleetRun) -> String {
+    let figures = &run.figures.cold_starts;
+    format!(
+        "{}, {} ({:.1}), {:.2}, {}",
+        figures.backends,
+        figures.worst_window_attempts,
+        figures.worst_window_budget,
+        figures.worst_fraction_of_bound,
+        figures.attempts_over_bound
+    )
+}
+
+fn discovery_calls(run: &FleetRun) -> String {
+    let figures = &run.figures.discovery;
+    format!(
+        "{}, {}, {}, {}",
+        figures.changes, figures.calls, figures.calls_refused, figures.calls_timed_out
+    )
+}
+
+fn notification_delay(run: &FleetRun) -> String {
+    let figures = &run.figures.discovery;
+    let secs = |ms: f64| ms / 1000.0;
+    format!(
+        "{:.3} / {:.2} / {:.2}; {} of {}",
+        secs(figures.delay_p50_ms),
+        secs(figures.delay_p99_ms),
+        secs(figures.delay_max_ms),
+        figures.notified_after_deadline,
+        figures.pairs
+    )
+}
+
+fn late_attempts(run: &FleetRun) -> String {
+    let late = &run.figures.late_attempts;
+    format!("{}, {}", late.after_notification, late.after_deadline)
+}
+
+fn memory_per_proxy(run: &FleetRun) -> String {
+    match run.cost.kb_per_proxy {
+        Some(kb) => format!("{kb:.0}"),
+        None => "-".into(),
+    }
+}
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -3,7 +3,7 @@
 use brookstack_fleet_simulator::real::cell::Cell;
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
-use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, Table};
+use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, real_table, Table};
 use brookstack_fleet_simulator::world::DiscoveryMode;
 
 /// A cell that passes all checks.
@@ -93,3 +93,50 @@
     table.row(vec!["1".into(), "2".into()]);
     assert_eq!(table.to_string(), "| a | b |\n| --- | --- |\n| 1 | 2 |\n");
 }
+
+/// The texts between the bars of one line of a table.
+fn texts(line: &str) -> Vec<&str> {
+    line.trim_matches(['|', ' ']).split(" | ").collect()
+}
+
+#[test]
+fn the_table_of_cells_shows_each_figure_under_its_title() {
+    let table = real_table(&[sound_cell()]).to_string();
+    let lines: Vec<&str> = table.lines().collect();
+    assert_eq!(lines.len(), 3);
+    let columns: Vec<_> = texts(lines[0]).into_iter().zip(texts(lines[2])).collect();
+    let expected = [
+        ("backends", "200"),
+        ("tenants", "7"),
+        ("ready, s", "0.10"),
+        ("resident at start (highest), MB", "4.0 (4.0)"),
+        (
+            "after load (highest; with further whole lists), MB",
+            "8.0 (8.0; 9.0)",
+        ),
+        ("CPU idle, % of a core", "0.10"),
+        ("CPU under load, % of a core", "2.00"),
+        ("list, bytes", "26080"),
+        ("one change, bytes", "250"),
+        ("idle, bytes/s", "30"),
+        ("new connections a request (1st, 2nd half)", "0.10, 0.00"),
+        ("added p50 / p99 / longest, ms", "1.00 / 6.00 / 9.0"),
+        (
+            "of it before the backend had it, and after its answer: p50 / p99, ms",
+            "0.80 / 5.50, 0.20 / 0.50",
+        ),
+        (
+            "stall of the data path: none / change / whole list, ms, median of 5 (longest)",
+            "1.0 (2.0) / 1.0 (2.0) / 1.0 (2.0)",
+        ),
+        (
+            "requests sent on; refused / failed / broken",
+            "8400; 3 / 2 / 0",
+        ),
+        (
+            "without a core idle / load / probes, % of the time",
+            "0.00 / 0.40 / 0.90",
+        ),
+    ];
+    assert_eq!(columns, expected);
+}
