--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -2,7 +2,9 @@
 //! of them do together (simulated ones: the balancer on a simulated clock).
 
 pub mod args;
+mod arrivals;
 pub mod failure;
+mod histogram;
 pub mod real;
 pub mod report;
 pub mod simulated;
--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -9,6 +9,7 @@
 use super::stall::{Stall, PROBE_SPAN};
 use super::startup::{self, ReadyProxy};
 use crate::failure::{Failure, InputError, MeasurementError};
+use crate::histogram::{millis, quantile_ms};
 use crate::world::DiscoveryMode;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -231,14 +232,6 @@
     kilobytes as f64 / 1024.0
 }
 
-fn millis(micros: u64) -> f64 {
-    micros as f64 / 1000.0
-}
-
-fn quantile_ms(micros: &Histogram<u64>, quantile: f64) -> f64 {
-    millis(micros.value_at_quantile(quantile))
-}
-
 fn median_and_p99_ms(micros: &Histogram<u64>) -> [f64; 2] {
     [0.5, 0.99].map(|quantile| quantile_ms(micros, quantile))
 }
--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -2,7 +2,9 @@
 
 use super::backends::{since_start, Stamp};
 use super::client::{connect, exchange, ClientError, Connection};
+use crate::arrivals::arrival_intervals;
 use crate::failure::{Failure, InputError};
+use crate::histogram::new_histogram;
 use crate::world::tenant_name;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -19,13 +21,6 @@
 
 /// How long a client waits for its answer, ms.
 const CLIENT_TIMEOUT_MS: u64 = 2_000;
-/// The longest time that the histograms resolve, us.
-const MAX_RECORDED_MICROS: u64 = 60_000_000;
-
-/// Microseconds up to a minute, to three digits.
-fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3).expect("sound bounds")
-}
 
 /// What clients observed.
 pub struct Observations {
@@ -141,11 +136,6 @@
         tenants: usize,
         seed: u64,
     ) -> Result<Load, InputError> {
-        let intervals =
-            Exp::new(requests_per_second).map_err(|source| InputError::ArrivalRate {
-                per_second: requests_per_second,
-                source,
-            })?;
         let clients = Clients {
             proxy,
             idle_connections: Mutex::default(),
@@ -154,7 +144,7 @@
         Ok(Load {
             clients: Arc::new(clients),
             random: Pcg64Mcg::seed_from_u64(seed),
-            intervals,
+            intervals: arrival_intervals(requests_per_second)?,
             tenants,
             next_arrival: Instant::now(),
         })
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -13,6 +13,7 @@
 use super::setup::{Setup, WARM_UP_SECS};
 use super::timeline::{BackendChange, Timeline};
 use crate::failure::{InputError, MeasurementError};
+use crate::histogram::{new_histogram, quantile_ms};
 use crate::world::{self, Deployment, DiscoveryMode, ZONES};
 use brookstack_balancer::{BackendState, Endpoint, EndpointUpdate, Micros, Time};
 use hdrhistogram::Histogram;
@@ -28,8 +29,6 @@
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 /// The number of the second process of each proxy, after a restart.
 const RESTARTED_PROCESS: u32 = 1;
-/// The longest time that the histograms resolve, us.
-const MAX_RECORDED_MICROS: u64 = 60_000_000;
 
 /// A fleet and the world around it.
 pub struct Fleet {
@@ -351,12 +350,3 @@
         input: ProxyInput::EndpointsUpdated { update, endpoints },
     }
 }
-
-/// Microseconds up to a minute, to three digits.
-fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3).expect("sound bounds")
-}
-
-fn quantile_ms(micros: &Histogram<u64>, quantile: f64) -> f64 {
-    micros.value_at_quantile(quantile) as f64 / 1000.0
-}
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -1,6 +1,7 @@
 //! The record of the changes that discovery knows of, and of which proxy was notified of them when.
 
 use super::timeline::{BackendChange, Outage};
+use crate::histogram::{millis, new_histogram_up_to, quantile_ms};
 use crate::world;
 use brookstack_balancer::{BackendState, Endpoint, Micros, Time};
 use hdrhistogram::Histogram;
@@ -97,19 +98,14 @@
 
 impl ChangeLog {
     /// A log without changes; all proxies started at that time.
-    ///
-    /// # Panics
-    ///
-    /// Never: the bounds of its histogram are constants that are valid.
     pub fn new(proxies: u32, outage: Option<Outage>, start: Time) -> ChangeLog {
-        let delays = Histogram::new_with_bounds(1, MAX_RECORDED_DELAY_MICROS, 3);
         ChangeLog {
             outage,
             changes: Vec::new(),
             proxies: (0..proxies)
                 .map(|_| ProxyKnowledge::new(start, 0))
                 .collect(),
-            delays: delays.expect("sound bounds"),
+            delays: new_histogram_up_to(MAX_RECORDED_DELAY_MICROS),
             notified_pairs: 0,
             notified_after_deadline: 0,
             unavailable_since: BTreeMap::new(),
@@ -228,10 +224,9 @@
                 after_deadline += u64::from(delay > NOTIFICATION_DEADLINE);
             }
         }
-        let millis = |micros: u64| micros as f64 / 1000.0;
         PropagationFigures {
-            delay_p50_ms: millis(self.delays.value_at_quantile(0.5)),
-            delay_p99_ms: millis(self.delays.value_at_quantile(0.99)),
+            delay_p50_ms: quantile_ms(&self.delays, 0.5),
+            delay_p99_ms: quantile_ms(&self.delays, 0.99),
             delay_max_ms: millis(longest.0),
             after_deadline,
             not_notified,
--- a/crates/fleet-simulator/src/simulated/proxy/clients.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/clients.rs
@@ -1,5 +1,6 @@
 //! The clients of one proxy: a Poisson stream of requests.
 
+use crate::arrivals::arrival_intervals;
 use crate::failure::InputError;
 use brookstack_balancer::{Micros, RequestId, Time};
 use rand::SeedableRng;
@@ -26,8 +27,7 @@
 impl Clients {
     /// Clients that send this many requests a second from that time on.
     pub fn new(per_second: f64, start: Time, seed: u64) -> Result<Clients, InputError> {
-        let intervals = Exp::new(per_second)
-            .map_err(|source| InputError::ArrivalRate { per_second, source })?;
+        let intervals = arrival_intervals(per_second)?;
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let next_arrival = start + Micros::from_secs(intervals.sample(&mut random));
         Ok(Clients {
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -140,3 +140,23 @@
     ];
     assert_eq!(columns, expected);
 }
+
+#[test]
+fn the_json_of_a_cell_keeps_its_keys_and_their_order() {
+    let json = serde_json::to_string(&sound_cell()).expect("JSON");
+    let expected = concat!(
+        r#"{"backends":200,"tenants":7,"mode":"automatic","known":false,"per_s":70.0,"#,
+        r#""ready_secs":0.1,"rss_start_mb":4.0,"hwm_start_mb":4.0,"rss_load_mb":8.0,"#,
+        r#""hwm_load_mb":8.0,"hwm_end_mb":9.0,"cpu_idle_percent":0.1,"idle_secs":20.0,"#,
+        r#""cpu_load_percent":2.0,"load_secs":120.0,"waited_percent":[0.0,0.4,0.9],"#,
+        r#""list_bytes":26080,"idle_bytes_per_s":30.0,"change_bytes":250.0,"#,
+        r#""discovery_calls":40,"requests":8400,"#,
+        r#""not_served":{"refused":3,"failed":2,"broken":0},"new_connections":[0.1,0.0],"#,
+        r#""added_p50_ms":1.0,"added_p99_ms":6.0,"added_max_ms":9.0,"#,
+        r#""before_ms":[0.8,5.5],"after_ms":[0.2,0.5],"#,
+        r#""stall_plain":{"median_ms":1.0,"longest_ms":2.0},"#,
+        r#""stall_change":{"median_ms":1.0,"longest_ms":2.0},"#,
+        r#""stall_whole":{"median_ms":1.0,"longest_ms":2.0},"probes":[2000,2000,2000]}"#,
+    );
+    assert_eq!(json, expected);
+}
