--- a/crates/fleet-simulator/src/real/mod.rs
+++ b/crates/fleet-simulator/src/real/mod.rs
@@ -5,6 +5,7 @@
 pub mod client;
 pub mod discovery;
 pub mod load;
+mod measurements;
 mod phases;
 pub mod process;
 mod setup;
@@ -38,13 +39,18 @@
     })
 }
 
+async fn run_cell(setup: Setup) -> Result<Cell, Failure> {
+    let measurements = measurements::measure(&setup).await?;
+    Ok(Cell::new(&setup, &measurements))
+}
+
 async fn run_batches(setups: Vec<Setup>, jobs: usize) -> Result<Vec<Cell>, Failure> {
     let mut cells = Vec::new();
     for batch in setups.chunks(jobs.max(1)) {
         let running: Vec<_> = batch
             .iter()
             .cloned()
-            .map(|setup| tokio::spawn(async move { cell::run(&setup).await }))
+            .map(|setup| tokio::spawn(run_cell(setup)))
             .collect();
         for task in running {
             let cell = task.await.map_err(Failure::in_step("a cell"))??;
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -25,7 +25,7 @@
     if cell.ready_secs > MAX_READY_SECS {
         failed.push(format!("{name}: ready after {:.2} s", cell.ready_secs));
     }
-    let unanswered = cell.not_served.no_response;
+    let unanswered = cell.requests.not_served.no_response;
     if unanswered > 0 {
         failed.push(format!("{name}: {unanswered} requests without an answer"));
     }
@@ -43,7 +43,7 @@
 }
 
 fn is_disturbed(cell: &Cell) -> bool {
-    let waits = cell.cpu_wait_percent;
+    let waits = cell.cpu.cpu_wait_percent;
     waits.into_iter().any(|percent| percent > BUSY_PERCENT)
 }
 
--- a/crates/fleet-simulator/src/report/real_table.rs
+++ b/crates/fleet-simulator/src/report/real_table.rs
@@ -18,7 +18,7 @@
     },
     Column {
         title: "resident at start (highest), MB",
-        cell: |cell| format!("{:.1} ({:.1})", cell.rss_start_mb, cell.hwm_start_mb),
+        cell: memory_at_start,
     },
     Column {
         title: "after load (highest; with further whole lists), MB",
@@ -26,23 +26,23 @@
     },
     Column {
         title: "CPU idle, % of a core",
-        cell: |cell| format!("{:.2}", cell.cpu_idle_percent),
+        cell: |cell| format!("{:.2}", cell.cpu.cpu_idle_percent),
     },
     Column {
         title: "CPU under load, % of a core",
-        cell: |cell| format!("{:.2}", cell.cpu_load_percent),
+        cell: |cell| format!("{:.2}", cell.cpu.cpu_load_percent),
     },
     Column {
         title: "list, bytes",
-        cell: |cell| cell.list_bytes.to_string(),
+        cell: |cell| cell.discovery.list_bytes.to_string(),
     },
     Column {
         title: "one change, bytes",
-        cell: |cell| format!("{:.0}", cell.change_bytes),
+        cell: |cell| format!("{:.0}", cell.discovery.change_bytes),
     },
     Column {
         title: "idle, bytes/s",
-        cell: |cell| format!("{:.0}", cell.idle_bytes_per_s),
+        cell: |cell| format!("{:.0}", cell.discovery.idle_bytes_per_s),
     },
     Column {
         title: "new connections a request (1st, 2nd half)",
@@ -75,52 +75,59 @@
     Table::of(&COLUMNS, cells)
 }
 
+fn memory_at_start(cell: &Cell) -> String {
+    let memory = &cell.memory;
+    format!("{:.1} ({:.1})", memory.rss_start_mb, memory.hwm_start_mb)
+}
+
 fn memory_after_load(cell: &Cell) -> String {
+    let memory = &cell.memory;
     format!(
         "{:.1} ({:.1}; {:.1})",
-        cell.rss_load_mb, cell.hwm_load_mb, cell.hwm_end_mb
+        memory.rss_load_mb, memory.hwm_load_mb, memory.hwm_end_mb
     )
 }
 
 fn new_connections(cell: &Cell) -> String {
-    let [first_half, second_half] = cell.new_connections_per_request;
+    let [first_half, second_half] = cell.requests.new_connections_per_request;
     format!("{first_half:.2}, {second_half:.2}")
 }
 
 fn added_latency(cell: &Cell) -> String {
+    let latency = &cell.latency;
     format!(
         "{:.2} / {:.2} / {:.1}",
-        cell.added_p50_ms, cell.added_p99_ms, cell.added_max_ms
+        latency.added_p50_ms, latency.added_p99_ms, latency.added_max_ms
     )
 }
 
 fn parts_of_added_latency(cell: &Cell) -> String {
-    let [before_p50, before_p99] = cell.before_backend_ms;
-    let [after_p50, after_p99] = cell.after_backend_ms;
+    let [before_p50, before_p99] = cell.latency.before_backend_ms;
+    let [after_p50, after_p99] = cell.latency.after_backend_ms;
     format!("{before_p50:.2} / {before_p99:.2}, {after_p50:.2} / {after_p99:.2}")
 }
 
 fn stalls(cell: &Cell) -> String {
-    let stalls = [
-        cell.stall_without_event,
-        cell.stall_change,
-        cell.stall_snapshot,
-    ];
-    stalls
+    let stalls = &cell.stalls;
+    [stalls.without_event, stalls.change, stalls.snapshot]
         .map(|stall| format!("{:.1} ({:.1})", stall.median_ms, stall.longest_ms))
         .join(" / ")
 }
 
 fn request_counts(cell: &Cell) -> String {
-    let not_served = &cell.not_served;
+    let requests = &cell.requests;
+    let not_served = &requests.not_served;
     format!(
         "{}; {} / {} / {}",
-        cell.forwarded_requests, not_served.rejected, not_served.failed, not_served.no_response
+        requests.forwarded, not_served.rejected, not_served.failed, not_served.no_response
     )
 }
 
 /// The time without a core, % of the time: when idle, under the load and under the probes.
 pub(super) fn cpu_wait(cell: &Cell) -> String {
-    let percents = cell.cpu_wait_percent.map(|percent| format!("{percent:.2}"));
+    let percents = cell
+        .cpu
+        .cpu_wait_percent
+        .map(|percent| format!("{percent:.2}"));
     percents.join(" / ")
 }
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -1,6 +1,8 @@
 //! The report of the real proxy's cells: failed checks, disturbed cells and tables.
 
-use brookstack_fleet_simulator::real::cell::Cell;
+use brookstack_fleet_simulator::real::cell::{
+    Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryFigures, RequestFigures, StallFigures,
+};
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
 use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, real_table, Table};
@@ -19,36 +21,64 @@
         list_is_known: false,
         requests_per_second: 70.0,
         ready_secs: 0.1,
+        memory: sound_memory(),
+        cpu: sound_cpu(),
+        discovery: DiscoveryFigures {
+            list_bytes: 26_080,
+            idle_bytes_per_s: 30.0,
+            change_bytes: 250.0,
+            discovery_calls: 40,
+        },
+        requests: sound_requests(),
+        latency: sound_latency(),
+        stalls: StallFigures {
+            without_event: stall,
+            change: stall,
+            snapshot: stall,
+            probes: [2_000; 3],
+        },
+    }
+}
+
+fn sound_memory() -> MemoryFigures {
+    MemoryFigures {
         rss_start_mb: 4.0,
         hwm_start_mb: 4.0,
         rss_load_mb: 8.0,
         hwm_load_mb: 8.0,
         hwm_end_mb: 9.0,
+    }
+}
+
+fn sound_cpu() -> CpuFigures {
+    CpuFigures {
         cpu_idle_percent: 0.1,
         idle_secs: 20.0,
         cpu_load_percent: 2.0,
         load_secs: 120.0,
         cpu_wait_percent: [0.0, 0.4, 0.9],
-        list_bytes: 26_080,
-        idle_bytes_per_s: 30.0,
-        change_bytes: 250.0,
-        discovery_calls: 40,
-        forwarded_requests: 8_400,
+    }
+}
+
+fn sound_requests() -> RequestFigures {
+    RequestFigures {
+        forwarded: 8_400,
         not_served: NotServed {
             rejected: 3,
             failed: 2,
             no_response: 0,
         },
         new_connections_per_request: [0.1, 0.0],
+    }
+}
+
+fn sound_latency() -> LatencyFigures {
+    LatencyFigures {
         added_p50_ms: 1.0,
         added_p99_ms: 6.0,
         added_max_ms: 9.0,
         before_backend_ms: [0.8, 5.5],
         after_backend_ms: [0.2, 0.5],
-        stall_without_event: stall,
-        stall_change: stall,
-        stall_snapshot: stall,
-        probes: [2_000; 3],
     }
 }
 
@@ -63,12 +93,10 @@
         failed_cells(&[sound_cell(), late]),
         ["200 backends x 7 tenants: ready after 10.50 s"]
     );
-    let without_response = Cell {
-        not_served: NotServed {
-            no_response: 1,
-            ..NotServed::default()
-        },
-        ..sound_cell()
+    let mut without_response = sound_cell();
+    without_response.requests.not_served = NotServed {
+        no_response: 1,
+        ..NotServed::default()
     };
     assert_eq!(
         failed_cells(&[without_response]),
@@ -79,10 +107,8 @@
 #[test]
 fn a_cell_measured_on_a_busy_machine_is_named() {
     assert_eq!(disturbed_cells(&[sound_cell()]), Vec::<String>::new());
-    let busy = Cell {
-        cpu_wait_percent: [0.0, 2.5, 0.0],
-        ..sound_cell()
-    };
+    let mut busy = sound_cell();
+    busy.cpu.cpu_wait_percent = [0.0, 2.5, 0.0];
     let line = "200 backends x 7 tenants: without a core for 0.00 / 2.50 / 0.00 % of the time";
     assert_eq!(disturbed_cells(&[sound_cell(), busy]), [line]);
 }
