--- a/crates/fleet-simulator/tests/stand_ins.rs
+++ b/crates/fleet-simulator/tests/stand_ins.rs
@@ -3,94 +3,118 @@
 use brookstack_fleet_simulator::real::backends::{Backends, Stamp};
 use brookstack_fleet_simulator::real::client::RoundTrip;
 use brookstack_fleet_simulator::real::discovery::Discovery;
-use brookstack_fleet_simulator::real::load::Load;
+use brookstack_fleet_simulator::real::load::{Load, NotServed};
 use brookstack_fleet_simulator::real::stall::Stall;
-use serde_json::Value;
+use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Calls discovery on a connection of its own. Returns the body, and the bytes of the whole
-/// response.
-fn call(to: SocketAddr, path: &str) -> (Value, u64) {
+/// A response of discovery.
+struct Response {
+    body: Value,
+    /// The bytes of the whole response, its head included.
+    bytes: u64,
+}
+
+/// Calls discovery on a connection of its own.
+fn call(to: SocketAddr, path: &str) -> Response {
     let mut stream = TcpStream::connect(to).expect("discovery listens");
     write!(
         stream,
         "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
     )
     .expect("written");
-    let (mut stream, mut head, mut length) = (BufReader::new(stream), 0, 0);
+    let mut stream = BufReader::new(stream);
+    let head = read_head(&mut stream);
+    let mut body = vec![0; head.content_length];
+    stream.read_exact(&mut body).expect("a whole body");
+    // The stand-in counts the bytes before it closes the connection, but maybe after the client has
+    // received them. So the counts are complete once the connection has ended.
+    let mut surplus = Vec::new();
+    stream.read_to_end(&mut surplus).expect("the end");
+    assert!(surplus.is_empty(), "{surplus:?} after the response");
+    Response {
+        body: serde_json::from_slice(&body).expect("JSON"),
+        bytes: (head.bytes + head.content_length) as u64,
+    }
+}
+
+/// The head of a response.
+#[derive(Default)]
+struct Head {
+    /// Its own length.
+    bytes: usize,
+    /// The length of the body.
+    content_length: usize,
+}
+
+fn read_head(stream: &mut impl BufRead) -> Head {
+    let mut head = Head::default();
     loop {
         let mut line = String::new();
-        head += stream.read_line(&mut line).expect("a head");
+        head.bytes += stream.read_line(&mut line).expect("a head");
         if let Some(value) = line.to_lowercase().strip_prefix("content-length:") {
-            length = value.trim().parse().expect("a length");
+            head.content_length = value.trim().parse().expect("a length");
         }
         if line == "\r\n" {
-            break;
+            return head;
         }
     }
-    let mut body = vec![0; length];
-    stream.read_exact(&mut body).expect("a whole body");
-    // The end of the connection comes after the stand-in has counted what it wrote; the end of the
-    // body need not.
-    let mut surplus = Vec::new();
-    stream.read_to_end(&mut surplus).expect("the end");
-    assert!(surplus.is_empty(), "{surplus:?} after the response");
-    (
-        serde_json::from_slice(&body).expect("JSON"),
-        (head + length) as u64,
-    )
 }
 
-#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn discovery_serves_snapshots_deltas_and_empty_responses() {
-    let lines = ["one", "two", "three"].map(|n| format!("{{\"name\":\"{n}\"}}"));
-    let discovery = Discovery::start(lines.to_vec()).await.expect("started");
+/// Calls discovery without blocking the runtime that serves it.
+async fn get(discovery: &Discovery, path: &'static str) -> Response {
     let to = discovery.address;
-    let get = |path: &'static str| async move {
-        tokio::task::spawn_blocking(move || call(to, path))
-            .await
-            .expect("a call")
-    };
-    let (snapshot, bytes) = get("/api/targets").await;
-    assert_eq!(snapshot["snapshot"], true);
-    assert_eq!(
-        (
-            snapshot["index"].as_u64(),
-            snapshot["endpoints"].as_array().map(Vec::len)
-        ),
-        (Some(1), Some(3))
-    );
-    assert_eq!(
-        (discovery.bytes(), discovery.calls()),
-        (bytes, 1),
-        "the bytes include heads"
-    );
+    tokio::task::spawn_blocking(move || call(to, path))
+        .await
+        .expect("a call")
+}
+
+/// A stand-in for discovery whose list has three endpoints.
+async fn discovery_with_three_endpoints() -> Discovery {
+    let endpoints = ["one", "two", "three"].map(|name| format!("{{\"name\":\"{name}\"}}"));
+    Discovery::start(endpoints.to_vec()).await.expect("started")
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn discovery_serves_the_whole_list_and_counts_its_bytes() {
+    let discovery = discovery_with_three_endpoints().await;
+    let Response { body, bytes } = get(&discovery, "/api/targets").await;
+    assert_eq!(body["snapshot"], true);
+    assert_eq!(body["index"].as_u64(), Some(1));
+    assert_eq!(body["endpoints"].as_array().map(Vec::len), Some(3));
+    assert_eq!(discovery.bytes(), bytes, "the bytes include heads");
+    assert_eq!(discovery.calls(), 1);
+}
 
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn a_watch_without_a_change_gets_an_empty_response_after_its_wait() {
+    let discovery = discovery_with_three_endpoints().await;
     let sent_at = Instant::now();
-    let (empty, _) = get("/api/targets?after=1&wait_ms=200").await;
+    let response = get(&discovery, "/api/targets?after=1&wait_ms=200").await;
     assert!(sent_at.elapsed() >= Duration::from_millis(200));
-    assert_eq!(
-        empty,
-        serde_json::json!({"index": 1, "snapshot": false, "endpoints": []})
-    );
+    let empty = json!({"index": 1, "snapshot": false, "endpoints": []});
+    assert_eq!(response.body, empty);
+}
 
-    let watch = tokio::spawn(get("/api/targets?after=1&wait_ms=30000"));
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn a_watch_gets_a_change_and_then_a_pushed_snapshot() {
+    let discovery = discovery_with_three_endpoints().await;
+    let watcher = discovery.clone();
+    let watch =
+        tokio::spawn(async move { get(&watcher, "/api/targets?after=1&wait_ms=30000").await });
     tokio::time::sleep(Duration::from_millis(50)).await;
     discovery.change(1, "{\"name\":\"new\"}".into());
-    let (change, _) = watch.await.expect("a call");
-    assert_eq!(
-        change,
-        serde_json::json!({"index": 2, "snapshot": false, "endpoints": [{"name": "new"}]})
-    );
+    let change = watch.await.expect("a call").body;
+    let expected = json!({"index": 2, "snapshot": false, "endpoints": [{"name": "new"}]});
+    assert_eq!(change, expected);
 
     discovery.push_snapshot();
-    let (snapshot, _) = get("/api/targets?after=2&wait_ms=30000").await;
-    assert_eq!(
-        (snapshot["index"].as_u64(), snapshot["snapshot"].as_bool()),
-        (Some(3), Some(true))
-    );
+    let response = get(&discovery, "/api/targets?after=2&wait_ms=30000").await;
+    let snapshot = response.body;
+    assert_eq!(snapshot["index"].as_u64(), Some(3));
+    assert_eq!(snapshot["snapshot"].as_bool(), Some(true));
     assert_eq!(snapshot["endpoints"].as_array().map(Vec::len), Some(3));
     assert_eq!(snapshot["endpoints"][1]["name"], "new");
 }
@@ -104,14 +128,7 @@
     // Requests of the last moments have no response yet.
     let answered = observations.added_latency.len();
     assert!((140..=270).contains(&answered), "{answered} responses");
-    assert_eq!(
-        (
-            observations.not_served.rejected,
-            observations.not_served.failed,
-            observations.not_served.no_response
-        ),
-        (0, 0, 0)
-    );
+    assert_eq!(observations.not_served, NotServed::default());
     assert!(backends.requests() >= answered);
     assert!(
         backends.connections() <= answered / 4,
@@ -123,13 +140,8 @@
         median < service_time / 2,
         "{median:?} beside a service time of {service_time:?}"
     );
-    assert_eq!(
-        (
-            observations.before_backend.len(),
-            observations.after_backend.len()
-        ),
-        (answered, answered)
-    );
+    assert_eq!(observations.before_backend.len(), answered);
+    assert_eq!(observations.after_backend.len(), answered);
 }
 
 #[test]
