--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery on the simulated clock: one service that serves calls one after another, keeps
 //! watches, and may have an outage.
 
-use super::messages::{Delivery, ProxyInput};
+use super::messages::Delivery;
 use super::propagation::{ChangeLog, PropagationFigures};
 use super::timeline::{BackendChange, Outage};
 use brookstack_balancer::{Endpoint, EndpointUpdate, Micros, Time};
@@ -242,21 +242,13 @@
 
 /// The response with changed endpoints that discovery sends at that time.
 fn delta(proxy: u32, sent_at: Time, endpoints: Arc<Vec<Endpoint>>) -> Delivery {
-    let update = EndpointUpdate::Delta;
-    Delivery {
-        proxy,
-        at: sent_at + NETWORK_DELAY,
-        input: ProxyInput::EndpointsUpdated { update, endpoints },
-    }
+    let arrives_at = sent_at + NETWORK_DELAY;
+    Delivery::endpoints(proxy, arrives_at, EndpointUpdate::Delta, endpoints)
 }
 
 /// The failure of a call or watch at that time.
 fn watch_failed(proxy: u32, failed_at: Time) -> Delivery {
-    let update = EndpointUpdate::WatchFailed;
+    let arrives_at = failed_at + NETWORK_DELAY;
     let endpoints = Arc::default();
-    Delivery {
-        proxy,
-        at: failed_at + NETWORK_DELAY,
-        input: ProxyInput::EndpointsUpdated { update, endpoints },
-    }
+    Delivery::endpoints(proxy, arrives_at, EndpointUpdate::WatchFailed, endpoints)
 }
--- /dev/null
+++ b/crates/fleet-simulator/src/simulated/fleet/first_list.rs
@@ -0,0 +1,57 @@
+//! The endpoint list as it is at the start of a run.
+
+use crate::failure::InputError;
+use crate::simulated::context::BackendIndex;
+use crate::world::{self, ZONES};
+use brookstack_balancer::{BackendState, Endpoint};
+use std::sync::Arc;
+
+/// One proxy in this many gets the whole list, the first proxy among them.
+const WHOLE_LIST_INTERVAL: u32 = 10;
+
+/// The endpoint list at the start, in which all backends are ready.
+pub(super) struct FirstList {
+    endpoints: Arc<Vec<Endpoint>>,
+    /// This many of a hundred backends are hidden from nine proxies in ten.
+    hidden_percent: usize,
+}
+
+impl FirstList {
+    pub(super) fn new(backends: usize, hidden_percent: usize) -> FirstList {
+        let endpoint = |backend| world::balancer_endpoint(backend, BackendState::Ready, None);
+        FirstList {
+            endpoints: Arc::new((0..backends).map(endpoint).collect()),
+            hidden_percent,
+        }
+    }
+
+    /// The list as a proxy gets it.
+    pub(super) fn of_proxy(&self, proxy: u32) -> Arc<Vec<Endpoint>> {
+        if self.hidden_percent == 0 || proxy % WHOLE_LIST_INTERVAL == 0 {
+            return self.endpoints.clone();
+        }
+        let numbered = self.endpoints.iter().enumerate();
+        let visible = numbered.filter(|(number, _)| self.is_visible_to_all(*number));
+        Arc::new(visible.map(|(_, endpoint)| endpoint.clone()).collect())
+    }
+
+    fn is_visible_to_all(&self, backend: usize) -> bool {
+        let position_in_zone = backend / ZONES.len();
+        position_in_zone % 100 >= self.hidden_percent
+    }
+
+    /// The numbers of backends by their ids. Ids are made of names, so two of them could be equal.
+    pub(super) fn backend_index(&self) -> Result<BackendIndex, InputError> {
+        let backends = self.endpoints.len();
+        let index: BackendIndex = self
+            .endpoints
+            .iter()
+            .enumerate()
+            .map(|(number, endpoint)| (endpoint.id, number as u32))
+            .collect();
+        if index.len() != backends {
+            return Err(InputError::BackendIdCollision { backends });
+        }
+        Ok(index)
+    }
+}
--- a/crates/fleet-simulator/src/simulated/messages.rs
+++ b/crates/fleet-simulator/src/simulated/messages.rs
@@ -71,6 +71,22 @@
     pub input: ProxyInput,
 }
 
+impl Delivery {
+    /// An update of the endpoint list that reaches a proxy at that time.
+    pub fn endpoints(
+        proxy: u32,
+        at: Time,
+        update: EndpointUpdate,
+        endpoints: Arc<Vec<Endpoint>>,
+    ) -> Delivery {
+        Delivery {
+            proxy,
+            at,
+            input: ProxyInput::EndpointsUpdated { update, endpoints },
+        }
+    }
+}
+
 /// The end of an attempt, as its backend determines it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
