--- a/crates/fleet-simulator/src/simulated/proxy/mod.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/mod.rs
@@ -5,56 +5,27 @@
 mod actions;
 mod clients;
 pub mod connections;
+mod events;
+mod inbox;
 mod open_requests;
+mod request_counts;
 
 use super::context::SharedContext;
 use super::messages::{AttemptKey, ProxyInput, ProxyOutput};
 use crate::failure::InputError;
 use brookstack_balancer::{
-    Action, Arrival, AttemptEnd, AttemptNumber, Balancer, ClassId, Config, ConfigError, Event,
-    Micros, Outcome, RequestId, Time, TimerQueue, RESPONSE_GRACE_TICKS,
+    Action, AttemptNumber, Balancer, Config, ConfigError, Event, Micros, RequestId, Time,
+    TimerQueue,
 };
 use clients::Clients;
 use connections::Connections;
-use open_requests::{Deadline, OpenRequests};
-use serde::Serialize;
-use std::collections::BTreeMap;
+use inbox::Inbox;
+use open_requests::OpenRequests;
+pub use request_counts::RequestCounts;
 
 /// How long a client waits for its answer.
 const CLIENT_TIMEOUT: Micros = Micros(2_000_000);
 
-/// What became of requests.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct RequestCounts {
-    /// Requests that arrived.
-    #[serde(rename = "came")]
-    pub arrived: u64,
-    /// Served.
-    pub served: u64,
-    /// Rejected by the balancer: the client may safely retry.
-    #[serde(rename = "refused")]
-    pub rejected: u64,
-    /// Failed by the balancer.
-    pub failed: u64,
-    /// Without the balancer's response when their time was up.
-    pub unanswered: u64,
-    /// Open when their proxy restarted.
-    #[serde(rename = "cut")]
-    pub interrupted: u64,
-}
-
-impl RequestCounts {
-    /// Adds the counts of another proxy.
-    pub fn add(&mut self, other: &RequestCounts) {
-        self.arrived += other.arrived;
-        self.served += other.served;
-        self.rejected += other.rejected;
-        self.failed += other.failed;
-        self.unanswered += other.unanswered;
-        self.interrupted += other.interrupted;
-    }
-}
-
 /// One simulated proxy.
 pub struct Proxy {
     number: u32,
@@ -62,9 +33,7 @@
     balancer: Balancer,
     clients: Clients,
     requests: OpenRequests,
-    /// What will reach it, by time and by the order in which it was sent.
-    inbox: BTreeMap<(Time, u64), ProxyInput>,
-    inputs_so_far: u64,
+    inbox: Inbox,
     timers: TimerQueue,
     /// Events that one tick produces for the next.
     next_tick_events: Vec<Event>,
@@ -99,8 +68,7 @@
             number,
             config,
             requests: OpenRequests::default(),
-            inbox: BTreeMap::new(),
-            inputs_so_far: 0,
+            inbox: Inbox::default(),
             timers: TimerQueue::default(),
             next_tick_events: Vec::new(),
             actions: Vec::new(),
@@ -112,8 +80,7 @@
 
     /// Puts an input into the inbox that will reach the proxy at that time.
     pub fn deliver(&mut self, at: Time, input: ProxyInput) {
-        self.inputs_so_far += 1;
-        self.inbox.insert((at, self.inputs_so_far), input);
+        self.inbox.push(at, input);
     }
 
     /// The process ends and another one begins in the same moment; its clients stay. Returns the
@@ -125,17 +92,7 @@
     ) -> Result<Vec<AttemptKey>, ConfigError> {
         let seed = process_seed(fleet_seed, self.number, process);
         self.balancer = Balancer::new(self.config.clone(), seed)?;
-        let mut interrupted: Vec<AttemptKey> = Vec::new();
-        for (request, open) in self.requests.drain() {
-            self.counts.interrupted += u64::from(!open.is_answered);
-            let attempts = open.in_flight.iter().map(|attempt| AttemptKey {
-                proxy: self.number,
-                request,
-                attempt: attempt.number,
-            });
-            interrupted.extend(attempts);
-        }
-        interrupted.sort();
+        let interrupted = self.interrupt_requests();
         self.inbox.clear();
         self.timers.clear();
         self.next_tick_events.clear();
@@ -143,6 +100,20 @@
         Ok(interrupted)
     }
 
+    /// Drops all open requests. Returns their attempts in flight, in their order.
+    fn interrupt_requests(&mut self) -> Vec<AttemptKey> {
+        let dropped: Vec<_> = self.requests.drain().collect();
+        let mut attempts = Vec::new();
+        for (request, open) in dropped {
+            self.counts.interrupted += u64::from(!open.is_answered);
+            for attempt in open.in_flight {
+                attempts.push(self.attempt_key(request, attempt.number));
+            }
+        }
+        attempts.sort();
+        attempts
+    }
+
     /// Requests that wait for their answer.
     pub fn unanswered(&self) -> u64 {
         self.requests.unanswered()
@@ -167,130 +138,17 @@
     fn is_due(&self, now: Time) -> bool {
         !self.next_tick_events.is_empty()
             || self.clients.next_arrival() <= now
-            || self.next_input_at().is_some_and(|at| at <= now)
+            || self.inbox.next_at().is_some_and(|at| at <= now)
             || self.has_expired_timer(now)
             || self.requests.is_due(now)
     }
 
-    fn next_input_at(&self) -> Option<Time> {
-        self.inbox.first_key_value().map(|((at, _), _)| *at)
-    }
-
     fn has_expired_timer(&self, now: Time) -> bool {
         self.timers
             .next_expiry()
             .is_some_and(|expires_at| expires_at <= now)
     }
 
-    /// Takes arrivals and inputs that are due, in the order of their times.
-    fn take_inputs(&mut self, now: Time, events: &mut Vec<Event>) {
-        loop {
-            let next_input_at = self.next_input_at().unwrap_or(Time(u64::MAX));
-            let next_arrival = self.clients.next_arrival();
-            if next_input_at.min(next_arrival) > now {
-                return;
-            }
-            if next_arrival < next_input_at {
-                events.push(self.arrival(now));
-            } else if let Some(((at, _), input)) = self.inbox.pop_first() {
-                events.extend(self.input_event(at, input));
-            } else {
-                return;
-            }
-        }
-    }
-
-    fn arrival(&mut self, now: Time) -> Event {
-        let request = self.clients.next_request();
-        self.counts.arrived += 1;
-        let client_deadline = self.requests.insert(request, CLIENT_TIMEOUT);
-        Event::Request(Arrival {
-            request: request.id,
-            class: ClassId(0),
-            tenant: None,
-            time_left: client_deadline - now,
-            work_hint: None,
-            is_retry: false,
-        })
-    }
-
-    fn input_event(&mut self, at: Time, input: ProxyInput) -> Option<Event> {
-        match input {
-            ProxyInput::AttemptEnded {
-                request,
-                attempt,
-                outcome,
-            } => self.attempt_ended(at, request, attempt, outcome),
-            ProxyInput::EndpointsUpdated { update, endpoints } => Some(Event::EndpointsUpdated {
-                update,
-                endpoints: endpoints.to_vec(),
-            }),
-        }
-    }
-
-    /// The event for the end of an attempt, unless the proxy has given up on the attempt before.
-    fn attempt_ended(
-        &mut self,
-        at: Time,
-        request: RequestId,
-        attempt: AttemptNumber,
-        outcome: Outcome,
-    ) -> Option<Event> {
-        let open = self.requests.get_mut(request)?;
-        let in_flight = open.take_attempt(attempt)?;
-        if outcome == Outcome::Success && !open.is_answered {
-            open.is_answered = true;
-            self.counts.served += 1;
-            let latency = at - open.arrived_at;
-            self.outputs.push(ProxyOutput::RequestServed { latency });
-        }
-        let settled = open.is_answered;
-        self.requests.remove_if_done(request);
-        Some(Event::AttemptEnded(AttemptEnd {
-            request,
-            attempt,
-            outcome,
-            latency: at - in_flight.sent_at,
-            settled,
-        }))
-    }
-
-    /// Attempts in flight at their client's deadline have timed out; the balancer still owes the
-    /// answer.
-    fn time_out_requests(&mut self, now: Time, events: &mut Vec<Event>) {
-        while let Some(Deadline { at, request }) = self.requests.pop_client_deadline(now) {
-            let Some(open) = self.requests.get_mut(request) else {
-                continue;
-            };
-            let settled = open.is_answered;
-            for attempt in std::mem::take(&mut open.in_flight) {
-                events.push(Event::AttemptEnded(AttemptEnd {
-                    request,
-                    attempt: attempt.number,
-                    outcome: Outcome::TimedOut,
-                    latency: now - attempt.sent_at,
-                    settled,
-                }));
-                let key = self.attempt_key(request, attempt.number);
-                self.outputs.push(ProxyOutput::CancelAttempt(key));
-            }
-            if !settled {
-                let grace = Micros(RESPONSE_GRACE_TICKS * self.config.tick.0);
-                self.requests.push_response_deadline(Deadline {
-                    at: at + grace,
-                    request,
-                });
-            }
-            self.requests.remove_if_done(request);
-        }
-    }
-
-    fn take_timers(&mut self, now: Time, events: &mut Vec<Event>) {
-        while let Some(token) = self.timers.pop_expired(now) {
-            events.push(Event::Timer { token });
-        }
-    }
-
     fn handle(&mut self, now: Time, event: Event, shared: &SharedContext) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
@@ -300,18 +158,6 @@
         self.actions = actions;
     }
 
-    /// Closes requests that the balancer has not answered in time.
-    fn close_unanswered(&mut self, now: Time) {
-        while let Some(Deadline { request, .. }) = self.requests.pop_response_deadline(now) {
-            if self.requests.awaits_response(request) {
-                self.counts.unanswered += 1;
-                self.next_tick_events
-                    .push(Event::ClientDisconnected { request });
-                self.requests.mark_answered(request);
-            }
-        }
-    }
-
     fn attempt_key(&self, request: RequestId, attempt: AttemptNumber) -> AttemptKey {
         AttemptKey {
             proxy: self.number,
