--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -120,19 +120,22 @@
     )
 }
 
-/// The largest load over the mean, of the kind for which it is largest.
+/// The largest load over the mean, of the machine type for which it is largest.
 fn largest_load(load: &Load) -> String {
     let least_even = load
-        .kinds
+        .machine_types
         .iter()
         .max_by(|a, b| a.largest_over_mean.total_cmp(&b.largest_over_mean));
-    let largest = least_even.map_or(0.0, |kind| kind.largest_over_mean);
-    let by_chance = least_even.map_or(0.0, |kind| kind.largest_by_chance);
+    let largest = least_even.map_or(0.0, |machine_type| machine_type.largest_over_mean);
+    let by_chance = least_even.map_or(0.0, |machine_type| machine_type.largest_by_chance);
     format!("{largest:.2} ({by_chance:.2})")
 }
 
 fn excess_spread(load: &Load) -> String {
-    let spreads = load.kinds.iter().map(|kind| kind.excess_spread);
+    let spreads = load
+        .machine_types
+        .iter()
+        .map(|machine_type| machine_type.excess_spread);
     let largest = spreads.fold(0.0, f64::max);
     format!("{:.0}", 100.0 * largest)
 }
--- a/crates/fleet-simulator/src/simulated/backends.rs
+++ b/crates/fleet-simulator/src/simulated/backends.rs
@@ -3,7 +3,7 @@
 use super::backend::{Backend, CORES};
 use super::cold_start::{ColdStartFigures, ColdStartMonitor};
 use super::messages::{AttemptKey, AttemptResult};
-use crate::world::{self, KINDS};
+use crate::world::{self, MACHINE_TYPES};
 use brookstack_balancer::{BackendState, Endpoint, Micros, Outcome, Time};
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp1};
@@ -15,7 +15,7 @@
 /// Time until a proxy learns that its attempt was rejected or could not connect.
 const REJECTION_DELAY: Micros = Micros(1_000);
 
-/// How many attempts ended in which way, by what backends did.
+/// How many attempts ended in which way, as the backends saw it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OutcomeCounts {
     /// Served.
@@ -28,7 +28,7 @@
     pub connect_failed: u64,
     /// The backend's process ended before the attempt did.
     pub reset: u64,
-    /// Cancelled, or timed out at the proxy.
+    /// Cancelled by the proxy, which may have been after a timeout.
     #[serde(rename = "withdrawn")]
     pub cancelled: u64,
 }
@@ -43,10 +43,11 @@
 pub struct Backends {
     /// The backends by number.
     pub all: Vec<Backend>,
-    /// How many times slower they are than their kind says.
+    /// An injected fault: backends are this many times slower than their machine type says. 1 is no
+    /// fault.
     slowdown: f64,
     in_flight: HashMap<AttemptKey, InFlightAttempt>,
-    /// Completions to come; those of cancelled attempts are skipped.
+    /// The completions to come. Those of cancelled attempts stay in and are skipped later.
     completions: BinaryHeap<Reverse<(Time, AttemptKey)>>,
     random: Pcg64Mcg,
     /// How attempts ended.
@@ -96,8 +97,11 @@
                 Outcome::ConnectFailed => self.outcomes.connect_failed += 1,
                 _ => self.outcomes.rejected += 1,
             }
-            let at = now + REJECTION_DELAY;
-            return Some(AttemptResult { key, at, outcome });
+            return Some(AttemptResult {
+                key,
+                at: now + REJECTION_DELAY,
+                outcome,
+            });
         }
         backend.in_service += 1;
         let in_flight = InFlightAttempt {
@@ -110,17 +114,17 @@
         None
     }
 
-    /// The time that a backend takes for an attempt that has just arrived, with a random amount of
-    /// work.
+    /// The time that a backend takes for an attempt that has just arrived. The work of an attempt
+    /// is random, with a mean of 1.
     fn service_time(&mut self, now: Time, backend_number: u32) -> Micros {
         let backend = &self.all[backend_number as usize];
-        // Half of the work is the same in all requests.
+        // Half of the mean work is fixed, the other half is exponentially distributed.
         let random_part: f64 = Exp1.sample(&mut self.random);
         let work = 0.5 + 0.5 * random_part;
-        // The processors are shared among the attempts that are there at the moment of arrival.
+        // The attempts that are in service at the moment of arrival share the processors.
         let contention = (f64::from(backend.in_service) / CORES).max(1.0);
-        let secs = KINDS[backend.kind].service_secs * self.slowdown * work * contention
-            / backend.warmup_fraction(now);
+        let mean_secs = MACHINE_TYPES[backend.machine_type].service_secs * self.slowdown;
+        let secs = mean_secs * work * contention / backend.warmup_fraction(now);
         Micros::from_secs(secs).max(Micros(1))
     }
 
@@ -132,7 +136,7 @@
         }
     }
 
-    /// The attempts that have completed by now, in the order of time.
+    /// Takes the results of the attempts that have completed by now, in the order of time.
     pub fn completed(&mut self, now: Time) -> Vec<AttemptResult> {
         let mut results = Vec::new();
         while let Some(Reverse((at, key))) = self.next_completion(now) {
@@ -177,7 +181,7 @@
             .collect()
     }
 
-    /// The load of backends while they were warming up.
+    /// The load that backends had while they were warming up.
     pub fn cold_starts(&self) -> ColdStartFigures {
         self.cold_starts.figures()
     }
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -4,9 +4,11 @@
 
 /// The least fraction of the requests that has to be served.
 const MIN_SERVED_FRACTION: f64 = 0.98;
-/// What loads within a kind may spread beyond chance, as a fraction of the mean.
+/// The most by which the loads of one machine type may spread beyond chance, as a fraction of their
+/// mean.
 const MAX_EXCESS_SPREAD: f64 = 0.2;
-/// Kinds with a lower mean load are left out of the check of the spread.
+/// The check of the spread leaves out machine types with a lower mean load, in attempts per
+/// backend.
 const MIN_MEAN_LOAD: f64 = 1.0;
 
 /// The checks of these figures.
@@ -58,12 +60,11 @@
     counts.arrived.abs_diff(ended + figures.open_at_end)
 }
 
+/// The largest spread of loads beyond chance that a machine type has.
 fn largest_excess_spread(figures: &Figures) -> f64 {
-    figures
-        .load
-        .kinds
-        .iter()
-        .filter(|kind| kind.mean >= MIN_MEAN_LOAD)
-        .map(|kind| kind.excess_spread)
+    let machine_types = figures.load.machine_types.iter();
+    machine_types
+        .filter(|load| load.mean >= MIN_MEAN_LOAD)
+        .map(|load| load.excess_spread)
         .fold(0.0, f64::max)
 }
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -2,16 +2,16 @@
 
 use super::backend::Backend;
 use super::proxy::Proxy;
-use crate::world::KINDS;
+use crate::world::MACHINE_TYPES;
 use serde::Serialize;
 
-/// Keeps divisions by a mean of zero finite.
+/// The least divisor, so that a division by a mean of zero stays finite.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// The least, the mean and the largest of some counts.
+/// The smallest, the mean and the largest of some counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct CountRange {
-    /// The least.
+    /// The smallest.
     #[serde(rename = "least")]
     pub min: u64,
     /// The mean.
@@ -33,38 +33,41 @@
     }
 }
 
-/// How evenly the backends of one kind were used, without those that the scenario changed.
+/// How evenly the backends of one machine type were used. Backends that the scenario changed are
+/// left out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct KindLoad {
-    /// The kind's name.
-    pub kind: &'static str,
-    /// Its backends.
+pub struct MachineTypeLoad {
+    /// The machine type's name.
+    #[serde(rename = "kind")]
+    pub machine_type: &'static str,
+    /// The number of its backends.
     pub backends: usize,
-    /// Attempts a backend.
+    /// Attempts per backend, on average.
     pub mean: f64,
     /// The largest load over the mean.
     pub largest_over_mean: f64,
-    /// The same if each attempt went to a random backend of the kind.
+    /// The same if each attempt went to a random backend of the type.
     #[serde(rename = "by_chance")]
     pub largest_by_chance: f64,
-    /// What the loads spread beyond chance, as a fraction of the mean.
+    /// The standard deviation of the loads without the part that random choices cause, as a
+    /// fraction of the mean.
     pub excess_spread: f64,
 }
 
-impl KindLoad {
-    fn new(kind: &'static str, loads: &[f64]) -> KindLoad {
+impl MachineTypeLoad {
+    fn new(machine_type: &'static str, loads: &[f64]) -> MachineTypeLoad {
         let count = loads.len().max(1) as f64;
         let mean = loads.iter().sum::<f64>() / count;
         let squares = loads.iter().map(|load| (load - mean).powi(2)).sum::<f64>();
         let variance = squares / (count - 1.0).max(1.0);
         let largest = loads.iter().copied().fold(0.0, f64::max);
-        KindLoad {
-            kind,
+        MachineTypeLoad {
+            machine_type,
             backends: loads.len(),
             mean,
             largest_over_mean: largest / mean.max(MIN_DIVISOR),
             largest_by_chance: largest_by_chance(mean, loads.len()),
-            // Random choices alone make the variance equal to the mean.
+            // If backends are chosen at random, loads are Poisson numbers: variance equals mean.
             excess_spread: (variance - mean).max(0.0).sqrt() / mean.max(MIN_DIVISOR),
         }
     }
@@ -75,20 +78,22 @@
 pub struct Load {
     /// The window's length, s.
     pub window_secs: f64,
-    /// The largest load over the mean, over all kinds: HALB gives fast kinds more.
+    /// The largest load over the mean, over the backends of all machine types. Fast machine types
+    /// get more attempts than slow ones, so this is above 1 also where the load is even.
     pub largest_over_mean: f64,
-    /// Kind by kind.
-    pub kinds: Vec<KindLoad>,
-    /// Distinct backends that a proxy used.
+    /// The load of each machine type.
+    #[serde(rename = "kinds")]
+    pub machine_types: Vec<MachineTypeLoad>,
+    /// How many distinct backends a proxy used.
     #[serde(rename = "backends_a_proxy")]
     pub backends_per_proxy: CountRange,
-    /// Attempts that a proxy sent.
+    /// How many attempts a proxy sent.
     #[serde(rename = "attempts_a_proxy")]
     pub attempts_per_proxy: CountRange,
-    /// Proxies that used a backend, without backends that the scenario changed.
+    /// How many proxies used a backend. Backends that the scenario changed are left out.
     #[serde(rename = "proxies_a_backend")]
     pub proxies_per_backend: CountRange,
-    /// New connections an attempt, in each half of the window.
+    /// New connections per attempt, in each half of the window.
     #[serde(rename = "new_connections")]
     pub new_connections_per_attempt: [f64; 2],
 }
@@ -106,18 +111,12 @@
         let unchanged_backends = only_unchanged(backends, unchanged);
         let all_loads = unchanged_backends.clone().map(|b| u64::from(b.load));
         let overall = CountRange::of(all_loads);
-        let kind_load = |(kind, name): (usize, &'static str)| {
-            let of_kind = unchanged_backends.clone().filter(|b| b.kind == kind);
-            let loads: Vec<f64> = of_kind.map(|b| f64::from(b.load)).collect();
-            KindLoad::new(name, &loads)
-        };
-        let kind_names = KINDS.iter().map(|kind| kind.name).enumerate();
         let used_backends = proxies.iter().map(|p| p.connections.used_backends());
         let attempts = proxies.iter().map(|p| p.connections.total_attempts());
         Load {
             window_secs,
             largest_over_mean: overall.max as f64 / overall.mean.max(MIN_DIVISOR),
-            kinds: kind_names.map(kind_load).collect(),
+            machine_types: machine_type_loads(unchanged_backends),
             backends_per_proxy: CountRange::of(used_backends),
             attempts_per_proxy: CountRange::of(attempts),
             proxies_per_backend: CountRange::of(only_unchanged(&users, unchanged).copied()),
@@ -126,6 +125,19 @@
     }
 }
 
+/// The load of each machine type.
+fn machine_type_loads<'a>(
+    backends: impl Iterator<Item = &'a Backend> + Clone,
+) -> Vec<MachineTypeLoad> {
+    let mut machine_type_loads = Vec::new();
+    for (index, machine_type) in MACHINE_TYPES.iter().enumerate() {
+        let of_type = backends.clone().filter(|b| b.machine_type == index);
+        let loads: Vec<f64> = of_type.map(|b| f64::from(b.load)).collect();
+        machine_type_loads.push(MachineTypeLoad::new(machine_type.name, &loads));
+    }
+    machine_type_loads
+}
+
 /// The values of backends that the scenario left alone.
 fn only_unchanged<'a, T>(
     values: &'a [T],
@@ -149,14 +161,14 @@
     users
 }
 
-/// New connections an attempt in one half of the window.
+/// New connections per attempt in one half of the window.
 fn new_connections(proxies: &[Proxy], half: usize) -> f64 {
     let opened: u64 = proxies.iter().map(|p| p.connections.opened[half]).sum();
     let attempts: u64 = proxies.iter().map(|p| p.connections.attempts[half]).sum();
     opened as f64 / (attempts as f64).max(1.0)
 }
 
-/// The median of the largest of `count` Poisson numbers of that mean, over the mean.
+/// The largest of `count` random Poisson numbers, over their mean: the median of that ratio.
 pub fn largest_by_chance(mean: f64, count: usize) -> f64 {
     if mean <= 0.0 || count == 0 {
         return 0.0;
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -4,7 +4,7 @@
 use brookstack_fleet_simulator::simulated::load::{largest_by_chance, CountRange};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
-use brookstack_fleet_simulator::world::{backend_name, placement, KINDS, ZONES};
+use brookstack_fleet_simulator::world::{backend_name, placement, MACHINE_TYPES, ZONES};
 use std::collections::BTreeSet;
 
 #[test]
@@ -51,13 +51,13 @@
             .filter(|p| p.zone == zone)
             .collect();
         assert_eq!(in_zone.len(), 2_125);
-        for (number, kind) in KINDS.iter().enumerate() {
-            let fraction =
-                in_zone.iter().filter(|p| p.kind == number).count() as f64 / in_zone.len() as f64;
+        for (index, machine_type) in MACHINE_TYPES.iter().enumerate() {
+            let of_type = in_zone.iter().filter(|p| p.machine_type == index).count();
+            let fraction = of_type as f64 / in_zone.len() as f64;
             assert!(
-                (fraction * 10.0 - kind.count_in_ten as f64).abs() < 0.05,
+                (fraction * 10.0 - machine_type.count_in_ten as f64).abs() < 0.05,
                 "{} in zone {zone}: {fraction}",
-                kind.name
+                machine_type.name
             );
         }
     }
