--- a/crates/fleet-simulator/src/args/matrix.rs
+++ b/crates/fleet-simulator/src/args/matrix.rs
@@ -1,10 +1,10 @@
-//! The stated matrix of the command `all`.
+//! The sizes and scenarios that the command `all` runs.
 
 use super::{AllArgs, FleetArgs, RealArgs};
 use crate::simulated::scenario::Scenario;
 use crate::world::DiscoveryMode;
 
-/// The sizes and spans of the real proxy's cells.
+/// The sizes of the real proxy's cells, and how long each phase takes.
 struct RealMatrix {
     backends: Vec<usize>,
     tenants: Vec<usize>,
@@ -29,7 +29,7 @@
 ];
 
 impl AllArgs {
-    /// The cells of the real proxy: the sizes from today's to the target's.
+    /// The cells of the real proxy, from small sizes to the target's.
     pub fn real(&self) -> RealArgs {
         let matrix = self.real_matrix();
         RealArgs {
@@ -69,8 +69,9 @@
         }
     }
 
-    /// The fleets: the target's size as long as the time allows, and all scenarios at smaller ones.
-    /// The largest is first, as only the first run of a process reports its memory.
+    /// The fleets. The one of the target's size has a short run, and one scenario, as it takes
+    /// long; smaller ones have all scenarios. The largest fleet is first, as only the first run of
+    /// a process reports its memory.
     pub fn fleets(&self) -> Vec<FleetArgs> {
         let sizes = self.fleet_sizes();
         sizes.into_iter().map(|size| self.fleet(size)).collect()
--- a/crates/fleet-simulator/src/args/setups.rs
+++ b/crates/fleet-simulator/src/args/setups.rs
@@ -12,22 +12,24 @@
 
 /// The largest number of backends, and of tenants.
 const MAX_COUNT: usize = 200_000;
-/// The largest number of listeners that stand for backends.
+/// The largest number of listeners that backends share.
 const MAX_LISTENERS: usize = 2_000;
 /// The largest number of cells that run at once.
 const MAX_JOBS: usize = 16;
 /// The longest span, s.
 const MAX_SPAN_SECS: f64 = 3_600.0;
-/// The highest rate of requests at the real proxy, and at a simulated one.
+/// The highest rate of requests at the real proxy, per second.
 const MAX_REAL_RATE: f64 = 5_000.0;
+/// The highest rate of requests at a simulated proxy, per second.
 const MAX_SIMULATED_RATE: f64 = 100_000.0;
-/// Discovery serves all proxies once in this time, unless a call's duration is given.
+/// Unless `--call-ms` is given, discovery takes this time, s, to serve one call of each proxy.
 const DISCOVERY_ROUND_SECS: f64 = 6.5;
-/// One in this many backends is in the rack that fails, unless its size is given; at least
-/// [`MIN_RACK_SIZE`].
+/// Unless `--rack` is given, one in this many backends is in the rack that fails, and at least
+/// [`MIN_RACK_SIZE`] are.
 const BACKENDS_PER_RACK_MEMBER: usize = 425;
+/// The least size of a rack, unless `--rack` is given.
 const MIN_RACK_SIZE: usize = 4;
-/// The rack has at most the backends of one of the eight zones.
+/// A rack is in one zone, so at most one in this many backends, the number of zones, is in it.
 const MAX_RACK_FRACTION: usize = 8;
 
 fn require(
@@ -63,39 +65,39 @@
 }
 
 fn rate(option: &'static str, per_second: f64, max: f64) -> Result<f64, InputError> {
-    let is_sound = per_second > 0.0 && per_second <= max;
+    let is_valid = per_second > 0.0 && per_second <= max;
     let expected = format!("over 0 up to {max} a second");
-    require(is_sound, option, expected, per_second)?;
+    require(is_valid, option, expected, per_second)?;
     Ok(per_second)
 }
 
 impl RealArgs {
-    /// One setup a cell, rows of backends first.
+    /// One setup per cell: for each number of backends, one for each number of tenants.
     pub fn setups(&self) -> Result<Vec<real::Setup>, InputError> {
         self.check_counts()?;
         self.check_program()?;
-        let cells = self
-            .backends
-            .iter()
-            .flat_map(|backends| self.tenants.iter().map(|tenants| (*backends, *tenants)));
-        cells
-            .map(|(backends, tenants)| self.setup(backends, tenants))
-            .collect()
+        let mut setups = Vec::new();
+        for backends in &self.backends {
+            for tenants in &self.tenants {
+                setups.push(self.setup(*backends, *tenants)?);
+            }
+        }
+        Ok(setups)
     }
 
     fn check_counts(&self) -> Result<(), InputError> {
-        let backends_are_sound =
+        let backends_are_valid =
             !self.backends.is_empty() && self.backends.iter().all(|n| (1..=MAX_COUNT).contains(n));
         require(
-            backends_are_sound,
+            backends_are_valid,
             "backends",
             format_args!("1 to {MAX_COUNT}"),
             format_args!("{:?}", self.backends),
         )?;
-        let tenants_are_sound =
+        let tenants_are_valid =
             !self.tenants.is_empty() && self.tenants.iter().all(|n| *n <= MAX_COUNT);
         require(
-            tenants_are_sound,
+            tenants_are_valid,
             "tenants",
             format_args!("up to {MAX_COUNT}"),
             format_args!("{:?}", self.tenants),
@@ -149,7 +151,7 @@
 }
 
 impl FleetArgs {
-    /// One setup a scenario.
+    /// One setup per scenario.
     pub fn setups(&self) -> Result<Vec<simulated::Setup>, InputError> {
         self.check_ranges()?;
         let discovery_call_ms = self.discovery_call_ms()?;
--- a/crates/fleet-simulator/src/failure.rs
+++ b/crates/fleet-simulator/src/failure.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The exit code after a failed check or a measurement that could not be made.
+/// The exit code where a check failed or a measurement could not be made.
 const EXIT_FAILED: u8 = 1;
 /// The exit code for input that can't be used.
 const EXIT_UNUSABLE_INPUT: u8 = 2;
@@ -73,13 +73,13 @@
     ArrivalRate {
         /// Requests a second.
         per_second: f64,
-        /// What is wrong with it.
+        /// The cause.
         source: rand_distr::ExpError,
     },
-    /// The balancer can't read the settings that were made of the options.
+    /// The balancer can't read the settings that were made from the options.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The balancer does not accept the configuration that was made of the options.
+    /// The balancer does not accept the configuration that was made from the options.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The names of two backends have the same id.
@@ -93,7 +93,7 @@
     StartProxy {
         /// The program.
         program: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// The file for the figures could not be written.
@@ -101,7 +101,7 @@
     WriteFigures {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
@@ -112,9 +112,9 @@
     /// One of its steps failed.
     #[error("{step}: {source}")]
     Step {
-        /// What was tried.
+        /// The step that failed.
         step: &'static str,
-        /// Why it failed.
+        /// The cause.
         source: Box<dyn StdError + Send + Sync>,
     },
     /// A simulated proxy could not be restarted.
@@ -135,10 +135,10 @@
         /// The time that it had.
         within: Duration,
     },
-    /// The user interrupted the command.
+    /// The command received SIGINT.
     #[error("interrupted")]
     Interrupted,
-    /// The command was told to terminate.
+    /// The command received SIGTERM.
     #[error("terminated")]
     Terminated,
 }
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -1,5 +1,8 @@
-//! Capacity tests: what a proxy costs at a size (the real process beside stand-ins), and what many
-//! of them do together (simulated ones: the balancer on a simulated clock).
+//! Capacity tests.
+//!
+//! [`real`] measures what one proxy process costs with a number of backends and tenants. Stand-ins
+//! take the place of discovery, backends and clients. [`simulated`] shows what many proxies do
+//! together: it runs their balancers in one process, on a simulated clock.
 
 pub mod args;
 mod arrivals;
--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -90,7 +90,7 @@
     Ok(runs)
 }
 
-/// Figures from a busy machine stay in the table, and are named.
+/// Prints the cells whose figures a busy machine has disturbed. They stay in the table.
 fn print_disturbed_cells(cells: &[Cell]) {
     for line in report::disturbed_cells(cells) {
         println!("busy machine, measure its times and stalls again: {line}");
@@ -104,7 +104,7 @@
     }
 }
 
-/// Prints the checks that failed, after the tables; any of them makes the command fail.
+/// Prints the checks that failed. Any of them makes the command fail.
 fn report_failed_checks(failed: &[String]) -> Result<(), Failure> {
     for line in failed {
         println!("check failed: {line}");
--- a/crates/fleet-simulator/src/real/backends.rs
+++ b/crates/fleet-simulator/src/real/backends.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the backends. Many backends may share an address: the proxy pools connections by
-//! backend name.
+//! Stand-ins for the backends. Many backends share a listener. The proxy does not mix up their
+//! connections, as it pools connections by the name of a backend.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What all backends together have seen.
+/// What is counted of all backends together.
 #[derive(Default)]
 struct Counts {
     connections: AtomicU64,
@@ -95,17 +95,17 @@
     Response::new(Full::new(stamp.to_text().into()))
 }
 
-/// When a backend received a request and how long it took to serve it: the body of its response, so
-/// that the client can tell the proxy's time from the backend's.
+/// When a backend received a request, and how long it took to serve it. A backend sends this as the
+/// body of its response, so that the client can subtract the backend's time from the latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stamp {
     /// When the request's last byte had arrived, on the clock of [`since_start`].
     pub received_at: Duration,
-    /// From then to the response.
+    /// The time from then to the response.
     pub service_time: Duration,
 }
 
-/// Time on a clock that all stand-ins of this process share.
+/// The time on a clock that all stand-ins of this process share.
 pub fn since_start() -> Duration {
     static START: LazyLock<Instant> = LazyLock::new(Instant::now);
     START.elapsed()
@@ -121,7 +121,7 @@
         )
     }
 
-    /// Reads a body; `None` where no backend wrote it.
+    /// Reads the body of a response; `None` if no backend wrote it.
     pub fn parse(body: &[u8]) -> Option<Stamp> {
         let (received_at, service_time) = std::str::from_utf8(body).ok()?.split_once(',')?;
         Some(Stamp {
--- a/crates/fleet-simulator/src/real/client.rs
+++ b/crates/fleet-simulator/src/real/client.rs
@@ -1,4 +1,4 @@
-//! A client over kept connections, and probes of the data path.
+//! A client of the proxy that keeps its connections, and probes of the data path.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -65,7 +65,7 @@
     Ok(ClientResponse { status, body })
 }
 
-/// Whether the proxy is ready; an error where nothing answers.
+/// Whether the proxy is ready; an error if nothing answers.
 pub async fn is_ready(proxy: SocketAddr) -> Result<bool, ClientError> {
     let mut connection = connect(proxy).await?;
     probe(&mut connection).await
@@ -88,11 +88,12 @@
     pub duration: Duration,
 }
 
-/// Sends a cheap request on a kept connection again and again, each after a pause of 1 ms: the
-/// longest round trip is the longest time for which the proxy's one thread did something else.
+/// Probes the proxy on one connection for that span, with a pause of 1 ms after each probe. A probe
+/// costs the proxy little, so the longest round trip is about the longest time for which the
+/// proxy's only thread did something else.
 pub async fn probe_for(proxy: SocketAddr, span: Duration) -> Result<Vec<RoundTrip>, Failure> {
     const STEP: &str = "probe of the data path";
-    // On a thread of its own, so that the work of the stand-ins does not count.
+    // The probes run on a thread of their own, so that the stand-ins do not delay them.
     let probes = tokio::task::spawn_blocking(move || probe_on_this_thread(proxy, span));
     let result = probes.await.map_err(Failure::in_step(STEP))?;
     result.map_err(Failure::in_step(STEP))
--- a/crates/fleet-simulator/src/real/discovery.rs
+++ b/crates/fleet-simulator/src/real/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery: it serves the whole endpoint list, and watches that wait for what
-//! changed.
+//! A stand-in for discovery. It serves the whole endpoint list, and watches: calls that wait for
+//! changes of the list.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -24,7 +24,7 @@
 /// The version of the list at the start.
 const FIRST_VERSION: u64 = 1;
 
-/// What has been written and answered so far.
+/// What is counted of the calls so far.
 #[derive(Default)]
 struct Counts {
     bytes: AtomicU64,
@@ -55,7 +55,7 @@
         self.changes.insert(self.version, change);
     }
 
-    /// The endpoints that changed after a version, or `None` where the whole list is to be sent.
+    /// The endpoints that changed after a version; `None` if the whole list is to be sent.
     fn changed_after(&self, version: u64) -> Option<Vec<&String>> {
         let changes = self.changes.range(version + 1..);
         changes
@@ -66,7 +66,7 @@
             .collect()
     }
 
-    /// The response to a proxy that has this version, or none.
+    /// The response to a proxy that knows this version of the list, or no version.
     fn response_body(&self, known_version: Option<u64>) -> String {
         let changed = known_version.and_then(|version| self.changed_after(version));
         let is_snapshot = changed.is_none();
@@ -129,7 +129,7 @@
 
     async fn serve_connection(self, stream: TcpStream) {
         let counts = self.counts.clone();
-        // What the proxy receives is what is written here, heads included.
+        // The count includes the heads of responses.
         let counted_stream = InspectWriter::new(stream, move |written: &[u8]| {
             counts.bytes.fetch_add(written.len() as u64, Relaxed);
         });
@@ -151,7 +151,7 @@
             Some(Query::List) => *response.body_mut() = self.response_body(None),
             Some(Query::Watch { after, wait }) => {
                 let mut version = self.version.subscribe();
-                // Where nothing changes in time, the response says so.
+                // If nothing changes in time, the list of changes in the response is empty.
                 let _ = tokio::time::timeout(wait, version.wait_for(|v| *v > after)).await;
                 *response.body_mut() = self.response_body(Some(after));
             }
@@ -204,7 +204,7 @@
 }
 
 impl Query {
-    /// Reads a call; `None` where it is not one of discovery's.
+    /// Reads a call; `None` if discovery has no such call.
     fn parse(uri: &Uri) -> Option<Query> {
         if uri.path() != "/api/targets" {
             return None;
--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -1,4 +1,5 @@
-//! An open-loop load of Poisson arrivals, and what its clients see.
+//! The load on the proxy: Poisson arrivals that do not wait for earlier responses, and what the
+//! clients observe.
 
 use super::backends::{since_start, Stamp};
 use super::client::{connect, exchange, ClientError, Connection};
@@ -26,9 +27,9 @@
 pub struct Observations {
     /// Latency beyond the backend's service time, us, of served requests.
     pub added_latency: Histogram<u64>,
-    /// The part of it until the backend had the request.
+    /// The part of it until the backend had the request, us.
     pub before_backend: Histogram<u64>,
-    /// The part of it after the backend's response.
+    /// The part of it after the backend's response, us.
     pub after_backend: Histogram<u64>,
     /// Requests that were not served.
     pub not_served: NotServed,
@@ -40,7 +41,7 @@
     /// Rejected: 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed: another status.
+    /// Failed: a status other than 200, 429 and 503.
     pub failed: u64,
     /// Without a response.
     #[serde(rename = "broken")]
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Adds what was observed at another time.
+    /// Adds the observations of another time.
     pub fn add(&mut self, other: &Observations) -> Result<(), Failure> {
         self.not_served.rejected += other.not_served.rejected;
         self.not_served.failed += other.not_served.failed;
@@ -119,7 +120,7 @@
     observations: Mutex<Observations>,
 }
 
-/// A Poisson stream of requests, each on a connection that is idle at that moment or on a new one.
+/// A Poisson stream of requests. Each uses a connection that is idle at its arrival, or a new one.
 pub struct Load {
     clients: Arc<Clients>,
     random: Pcg64Mcg,
@@ -160,7 +161,7 @@
             self.next_arrival += Duration::from_secs_f64(interval);
             let tenant = (self.tenants > 0).then(|| self.random.random_range(0..self.tenants));
             let correlation_id = self.random.random();
-            // In a task of its own, so that a slow response delays no later request.
+            // Each request has a task of its own, so that a slow response delays no later request.
             tokio::spawn(self.clients.clone().send(correlation_id, tenant));
         }
         tokio::time::sleep_until(end.into()).await;
--- a/crates/fleet-simulator/src/real/mod.rs
+++ b/crates/fleet-simulator/src/real/mod.rs
@@ -1,4 +1,4 @@
-//! The real proxy beside stand-ins: what it costs at a size.
+//! The real proxy beside stand-ins: what it costs with a number of backends and tenants.
 
 pub mod backends;
 pub mod cell;
@@ -27,7 +27,7 @@
         .enable_all()
         .build()
         .map_err(Failure::in_step("the stand-ins' threads"))?;
-    // A signal ends the cells' tasks, and with them the proxies that they have started.
+    // On a signal the tasks of the cells are dropped, which ends the proxies that they started.
     runtime.block_on(async {
         let mut terminated =
             signal(SignalKind::terminate()).map_err(Failure::in_step("SIGTERM"))?;
@@ -39,11 +39,13 @@
     })
 }
 
+/// Runs one cell.
 async fn run_cell(setup: Setup) -> Result<Cell, Failure> {
     let measurements = measurements::measure(&setup).await?;
     Ok(Cell::new(&setup, &measurements))
 }
 
+/// Runs cells in batches of `jobs`: each batch begins when the one before has ended.
 async fn run_batches(setups: Vec<Setup>, jobs: usize) -> Result<Vec<Cell>, Failure> {
     let mut cells = Vec::new();
     for batch in setups.chunks(jobs.max(1)) {
--- a/crates/fleet-simulator/src/real/phases.rs
+++ b/crates/fleet-simulator/src/real/phases.rs
@@ -10,18 +10,18 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// The proxy's first work is done within this time after it became ready.
+/// The time that the proxy gets after it is ready to finish the work of its start.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// What was measured before the load.
 pub(super) struct IdlePhase {
     /// The proxy's resources once it had settled.
     pub(super) settled: Usage,
-    /// Bytes that discovery had written until then.
+    /// Bytes that discovery had written once the proxy had settled.
     pub(super) settled_bytes: u64,
     /// The proxy's resources at the end of the phase.
     pub(super) end: Usage,
-    /// Bytes that discovery had written until then.
+    /// Bytes that discovery had written at the end.
     pub(super) end_bytes: u64,
 }
 
@@ -43,6 +43,7 @@
     pub(super) without_event: StallMeasurement,
     pub(super) change: StallMeasurement,
     pub(super) snapshot: StallMeasurement,
+    /// Bytes that discovery wrote per change of one entry.
     pub(super) change_bytes: f64,
 }
 
@@ -98,7 +99,8 @@
     }
 }
 
-/// Measures the stalls without an event, around changes of one entry, and around whole lists.
+/// Measures the stalls of the data path without an event, around changes of one entry, and around
+/// whole lists.
 pub(super) async fn run_probes(
     process: &ProxyProcess,
     backends: &Backends,
@@ -108,7 +110,7 @@
     let without_event = stall::measure_stalls(process.address, |_| {}).await?;
     let bytes_before = discovery.bytes();
     let change_endpoint = |event: usize| {
-        // Alternately draining and ready: each is a change.
+        // The state alternates, so that each event is a change.
         let status = if event % 2 == 0 { "draining" } else { "ready" };
         discovery.change(0, endpoint_json(0, backends, status));
     };
--- a/crates/fleet-simulator/src/real/process.rs
+++ b/crates/fleet-simulator/src/real/process.rs
@@ -26,10 +26,10 @@
     pub rss_kb: u64,
     /// The highest resident memory so far, KB.
     pub hwm_kb: u64,
-    /// Processor time so far, s, in the system's steps of mostly 0.01 s.
+    /// Processor time so far, s. The operating system counts it in ticks, usually of 0.01 s.
     pub cpu_secs: f64,
-    /// Time so far in which it was runnable and had no core, s: the machine was busy with other
-    /// work.
+    /// Time so far in which it was runnable and had no core, s, because the machine was busy with
+    /// other work.
     pub cpu_wait_secs: f64,
     /// When this was read.
     pub at: Instant,
@@ -53,7 +53,7 @@
 }
 
 impl ProxyProcess {
-    /// Starts the program with a configuration, whose `listen` is set to a free port.
+    /// Starts the program with this configuration, in which `listen` is replaced by a free port.
     pub fn start(program: &Path, mut config: Value) -> Result<ProxyProcess, Failure> {
         let address = free_address().map_err(Failure::in_step("a free port"))?;
         config["listen"] = address.to_string().into();
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Whether the process has exited, which it never should by itself.
+    /// Whether the process has exited. It should not do so by itself.
     pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
@@ -107,10 +107,10 @@
         rss_kb: status.vmrss.unwrap_or(0),
         hwm_kb: status.vmhwm.unwrap_or(0),
         cpu_secs: cpu_ticks as f64 / procfs::ticks_per_second() as f64,
-        // Of its first thread, which is the proxy's only one.
+        // This counts the first thread of the process. The proxy has no other.
         cpu_wait_secs: process
             .schedstat()
-            .map_or(0.0, |s| s.run_delay as f64 / 1e9),
+            .map_or(0.0, |schedule| schedule.run_delay as f64 / 1e9),
         at: Instant::now(),
     })
 }
@@ -122,7 +122,7 @@
     Ok(usage.rss_kb)
 }
 
-/// The number of file descriptors that a process may hold here.
+/// The limit on open file descriptors that this process passes on to the processes it starts.
 pub fn max_open_files() -> Result<u64, Failure> {
     let limits = Process::myself()
         .and_then(|own| own.limits())
@@ -143,7 +143,8 @@
     std::env::temp_dir().join(name)
 }
 
-/// An address whose port was free a moment ago: the proxy's port has to be in its configuration.
+/// An address with a port that is free now. The configuration of the proxy has to name its port, so
+/// another program may take the port before the proxy does.
 fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
--- a/crates/fleet-simulator/src/real/setup.rs
+++ b/crates/fleet-simulator/src/real/setup.rs
@@ -9,15 +9,16 @@
 pub struct Setup {
     /// The proxy's program.
     pub program: PathBuf,
-    /// Backends in the list.
+    /// Backends in the endpoint list.
     pub backends: usize,
     /// Tenants in the settings.
     pub tenants: usize,
     /// How the proxy learns the list.
     pub discovery_mode: DiscoveryMode,
-    /// The configuration holds the list, as after a restart; else it has to come from discovery.
+    /// Whether the configuration holds the endpoint list, as after a restart. Otherwise the proxy
+    /// has to get it from discovery.
     pub list_is_known: bool,
-    /// Which of the 1,100 proxies it is.
+    /// Which of the 1,100 proxies of the target deployment it is.
     pub proxy_index: u32,
     /// Listeners that stand for the backends.
     pub listeners: usize,
@@ -29,7 +30,8 @@
     pub idle_duration: Duration,
     /// How long the load lasts, in two equal parts.
     pub load_duration: Duration,
-    /// A connection that has been idle for this long is closed, s.
+    /// The setting `limits.conn_idle_us` of the proxy, here in seconds: the time after which an
+    /// idle connection is closed.
     pub connection_idle_secs: f64,
     /// The seed of arrival times and tenants.
     pub seed: u64,
--- a/crates/fleet-simulator/src/real/stall.rs
+++ b/crates/fleet-simulator/src/real/stall.rs
@@ -1,5 +1,5 @@
-//! Stalls of the data path: how long the proxy's one thread was busy with something else around an
-//! event.
+//! Stalls of the data path. The proxy has one thread: while it handles an event, such as a new
+//! endpoint list, requests wait. Probes around the event show for how long.
 
 use super::client::{self, RoundTrip};
 use crate::failure::Failure;
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The number of events of one sort.
+/// How many events of one sort are caused.
 pub(super) const EVENTS: usize = 5;
 /// The time between events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(600);
-/// The time after an event over which its stall is looked for.
+/// The stall of an event is the longest round trip that overlaps this time after the event.
 const STALL_WINDOW: Duration = Duration::from_millis(400);
-/// The time for which probes go on around the events of one sort.
+/// How long probes are sent around the events of one sort: a little longer than all events take.
 pub(super) const PROBE_SPAN: Duration = Duration::from_millis(3_600);
 
 /// The longest round trips of probes, one for each event of a sort.
@@ -21,7 +21,7 @@
 pub struct Stall {
     /// Their median, ms.
     pub median_ms: f64,
-    /// The longest, ms; on a shared machine it may be the machine's.
+    /// The longest, ms. On a shared machine, other programs may have caused it.
     pub longest_ms: f64,
 }
 
@@ -58,8 +58,8 @@
     pub(super) probes: usize,
 }
 
-/// Probes the data path while an event happens several times; `cause_event` gets the event's
-/// number.
+/// Probes the data path while `cause_event` causes an event several times; its argument is the
+/// number of the event.
 pub(super) async fn measure_stalls(
     proxy: SocketAddr,
     cause_event: impl FnMut(usize),
--- a/crates/fleet-simulator/src/real/startup.rs
+++ b/crates/fleet-simulator/src/real/startup.rs
@@ -10,11 +10,11 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Without a 200 from `/-/ready` after this time the cell has failed.
+/// The cell fails if `/-/ready` has not answered with 200 within this time after the start.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 /// The pause between two checks whether the proxy is ready.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// How often the proxy is started before the cell has failed.
+/// The cell fails if the proxy exits at this many starts.
 const START_ATTEMPTS: usize = 3;
 /// The largest limit on sockets in the proxy's configuration.
 const MAX_SOCKETS: u64 = 20_000;
@@ -26,8 +26,8 @@
     pub(super) ready_after: Duration,
 }
 
-/// Starts the proxy and waits until it is ready. Another program may take its port first: then the
-/// proxy exits, and another port is tried.
+/// Starts the proxy and waits until it is ready. The proxy exits if another program has taken its
+/// port; it is then started with another port.
 pub(super) async fn start(
     setup: &Setup,
     backends: &Backends,
@@ -46,7 +46,7 @@
     }))
 }
 
-/// Waits until a proxy is ready; `None` where it exits before.
+/// Waits until a proxy is ready; `None` if it exits before.
 async fn wait_until_ready(
     mut process: ProxyProcess,
 ) -> Result<Option<ReadyProxy>, MeasurementError> {
@@ -93,7 +93,7 @@
     }))
 }
 
-/// The endpoint list as a restarted proxy finds it in its configuration.
+/// The endpoint list as the configuration of a restarted proxy holds it.
 fn known_list(count: usize, backends: &Backends) -> Value {
     let endpoints: Vec<_> = (0..count)
         .map(|backend| world::listed_endpoint(backend, backends.address(backend).to_string()))
--- a/crates/fleet-simulator/src/simulated/context.rs
+++ b/crates/fleet-simulator/src/simulated/context.rs
@@ -1,4 +1,4 @@
-//! What all simulated proxies share and none of them changes.
+//! What all simulated proxies read and none of them changes.
 
 use brookstack_balancer::{BackendId, Micros, Time};
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 /// The numbers of backends by their id in the balancer.
 pub type BackendIndex = HashMap<BackendId, u32>;
 
-/// The time over which figures are counted, in two halves.
+/// The time over which figures are counted, in two equal halves.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasurementWindow {
     /// Its first moment.
@@ -18,7 +18,7 @@
 }
 
 impl MeasurementWindow {
-    /// The window between two moments, cut in the middle.
+    /// The window between two moments.
     pub fn new(start: Time, end: Time) -> MeasurementWindow {
         MeasurementWindow {
             start,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Which half of the window a time falls into; `None` outside the window.
+    /// Which half of the window a time falls into, 0 or 1; `None` outside the window.
     pub fn half(&self, at: Time) -> Option<usize> {
         if at < self.start || at >= self.end {
             None
@@ -53,7 +53,7 @@
 pub struct SharedContext {
     /// The numbers of backends by their id.
     pub backend_index: BackendIndex,
-    /// A connection that has been idle for this long is closed.
+    /// A proxy closes a connection that has been idle for this long.
     pub connection_idle_timeout: Micros,
     /// The time over which figures are counted.
     pub window: MeasurementWindow,
--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery on the simulated clock: one service that serves calls one after another, keeps
-//! watches, and may have an outage.
+//! Discovery on the simulated clock: one service that all proxies call and watch. It serves calls
+//! one after another, and may have an outage.
 
 use super::messages::Delivery;
 use super::propagation::{ChangeLog, PropagationFigures};
@@ -9,9 +9,9 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A call that has been queued for longer fails.
+/// A call fails if discovery has not begun to serve it within this time.
 const QUEUE_TIMEOUT: Micros = Micros(2_000_000);
-/// The time that a response of discovery takes to a proxy.
+/// The time that a response takes from discovery to a proxy.
 const NETWORK_DELAY: Micros = Micros(1_000);
 
 /// What is counted of discovery, and of how long changes took to reach proxies.
@@ -24,10 +24,10 @@
     /// Calls refused because discovery was down.
     #[serde(rename = "refused")]
     pub calls_refused: u64,
-    /// Calls that were queued for too long.
+    /// Calls that failed because they were queued for too long.
     #[serde(rename = "queued_too_long")]
     pub calls_timed_out: u64,
-    /// Watches that broke.
+    /// Watches that ended because discovery went down.
     #[serde(rename = "broken")]
     pub watches_broken: u64,
     /// From "could be reached" to "notified", over all proxies and changes, ms: median.
@@ -47,7 +47,7 @@
     pub pairs: u64,
 }
 
-/// The connection of one proxy to discovery.
+/// What one proxy has asked of discovery.
 #[derive(Clone, Copy, Default)]
 struct Watcher {
     /// It has a watch in place.
@@ -75,7 +75,7 @@
 pub struct Discovery {
     call_duration: Micros,
     outage: Option<Outage>,
-    /// It sends nothing to watches, for a world in which proxies are notified too late.
+    /// An injected fault: discovery sends nothing to watches, so proxies are notified too late.
     unresponsive: bool,
     is_down: bool,
     queue: VecDeque<QueuedCall>,
@@ -88,7 +88,7 @@
 }
 
 impl Discovery {
-    /// A service that takes that time for a call; all proxies watch already and hold its list.
+    /// A service that takes that time for a call. All proxies hold its list and watch already.
     pub fn new(
         proxies: u32,
         call_duration: Micros,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Runs a step: goes down or comes back, takes in changes that were made in it, sends them to
-    /// watches, and serves calls.
+    /// Runs a step: goes down or comes back, takes in the changes that were made in this step,
+    /// sends them to watches, and serves calls.
     pub fn step(&mut self, now: Time, changes: &[BackendChange]) -> Vec<Delivery> {
         let mut deliveries = Vec::new();
         let is_down = self.outage.is_some_and(|outage| outage.contains(now));
@@ -177,8 +177,7 @@
             } else if done_at <= now {
                 self.free_at = done_at;
                 self.watchers[proxy as usize].is_watching = true;
-                // The response holds the state as of now; the watch reports what changes from here
-                // on.
+                // The response holds all changes until now. The watch reports later ones.
                 let known_changes = self.changes.known_changes(proxy);
                 let endpoints = Arc::new(self.changes.endpoints_since(known_changes));
                 deliveries.push(delta(proxy, now, endpoints));
@@ -191,7 +190,7 @@
         }
     }
 
-    /// A proxy wants to watch. While it watches or has a call queued, that is the call it has.
+    /// A proxy calls to watch. The call is ignored while the proxy watches or has a call queued.
     pub fn watch(&mut self, now: Time, proxy: u32) -> Option<Delivery> {
         let watcher = &mut self.watchers[proxy as usize];
         if watcher.is_watching || watcher.is_queued {
@@ -207,7 +206,7 @@
         None
     }
 
-    /// A proxy has a new process, with the list as it was after that many changes.
+    /// A proxy has a new process, whose list is that after the first `known_changes` changes.
     pub fn proxy_restarted(&mut self, now: Time, proxy: u32, known_changes: usize) {
         self.queue.retain(|call| call.proxy != proxy);
         self.watchers[proxy as usize] = Watcher::default();
@@ -246,7 +245,7 @@
     Delivery::endpoints(proxy, arrives_at, EndpointUpdate::Delta, endpoints)
 }
 
-/// The failure of a call or watch at that time.
+/// The failure of a call or of a watch at that time.
 fn watch_failed(proxy: u32, failed_at: Time) -> Delivery {
     let arrives_at = failed_at + NETWORK_DELAY;
     let endpoints = Arc::default();
--- a/crates/fleet-simulator/src/simulated/figures.rs
+++ b/crates/fleet-simulator/src/simulated/figures.rs
@@ -8,14 +8,14 @@
 use super::setup::Setup;
 use serde::Serialize;
 
-/// Attempts on backends that take no new requests, by proxies that had to know.
+/// Attempts on backends that take no new requests, by proxies that should have known it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LateAttempts {
     /// Sent more than 0.5 s after the proxy was notified.
     #[serde(rename = "after_told")]
     pub after_notification: u64,
-    /// Sent more than 0.5 s after the proxy counts as notified, which is 6 s after it could have
-    /// been.
+    /// Sent more than 6.5 s after the proxy could have been notified: 6 s until it has to be
+    /// notified, and 0.5 s to react.
     #[serde(rename = "after_clock")]
     pub after_deadline: u64,
 }
@@ -25,7 +25,7 @@
 pub struct Check {
     /// What is checked.
     pub name: &'static str,
-    /// Whether the figure keeps to its bound.
+    /// Whether the figure is within its bound.
     #[serde(rename = "holds")]
     pub passed: bool,
     /// The figure.
@@ -57,7 +57,7 @@
     }
 }
 
-/// All figures of a run: the same for the same setup, however many threads it ran on.
+/// All figures of a run. The same setup gives the same figures on any number of threads.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
     /// What was run.
@@ -66,14 +66,15 @@
     pub requests: RequestCounts,
     /// Requests that were still open at the end.
     pub open_at_end: u64,
-    /// Served requests from arrival to answer, ms: median.
+    /// From arrival to answer, of served requests, ms: median.
     pub latency_p50_ms: f64,
-    /// The same, 99 in 100.
+    /// The same, 99th percentile, ms.
     pub latency_p99_ms: f64,
-    /// From arrival to the first attempt, ms: median; the steps of 5 ms are part of it.
+    /// From arrival to the first attempt, ms: median. The wait for the next tick, of up to 5 ms, is
+    /// part of it.
     #[serde(rename = "held_p50_ms")]
     pub queue_delay_p50_ms: f64,
-    /// The same, 99 in 100.
+    /// The same, 99th percentile, ms.
     #[serde(rename = "held_p99_ms")]
     pub queue_delay_p99_ms: f64,
     /// How attempts ended.
@@ -83,10 +84,10 @@
     /// The load of backends that were warming up.
     #[serde(rename = "cold")]
     pub cold_starts: ColdStartFigures,
-    /// Discovery.
+    /// Discovery, and how long changes took to reach proxies.
     #[serde(rename = "told")]
     pub discovery: DiscoveryFigures,
-    /// Attempts on backends that take no new requests.
+    /// Attempts on backends that take no new requests, by proxies that should have known it.
     #[serde(rename = "late")]
     pub late_attempts: LateAttempts,
     /// The checks of these figures.
@@ -94,10 +95,11 @@
 }
 
 impl Figures {
-    /// The fraction of requests that were served, of those that ended and were not interrupted.
+    /// The fraction of requests that were served. Requests that are still open, or that were
+    /// interrupted by a restart of their proxy, are left out.
     pub fn served_fraction(&self) -> f64 {
-        let not_ended = self.requests.interrupted + self.open_at_end;
-        let ended = self.requests.arrived.saturating_sub(not_ended);
+        let left_out = self.requests.interrupted + self.open_at_end;
+        let ended = self.requests.arrived.saturating_sub(left_out);
         self.requests.served as f64 / ended.max(1) as f64
     }
 }
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -22,7 +22,7 @@
 use recorder::Recorder;
 use std::sync::Arc;
 
-/// The clock at the start; any value that leaves room for earlier times would do.
+/// The clock at the start. The value has no meaning.
 const START: Time = Time(1_000_000_000_000);
 /// The length of a step.
 const STEP: Micros = Micros(5_000);
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// What the world does up to the moment of the proxies' tick.
+    /// Moves the world around the proxies to the moment of their tick.
     fn move_world(&mut self, now: Time, changes: &[BackendChange]) -> Result<(), MeasurementError> {
         for change in changes {
             self.backends
--- a/crates/fleet-simulator/src/simulated/messages.rs
+++ b/crates/fleet-simulator/src/simulated/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between a simulated proxy and the world around it.
+//! The messages between the simulated proxies and the world around them.
 
 use brookstack_balancer::{
     AttemptNumber, Endpoint, EndpointUpdate, Micros, Outcome, RequestId, Time,
@@ -30,14 +30,14 @@
     },
     /// Discovery has sent an update of the endpoint list, or the watch has failed.
     EndpointsUpdated {
-        /// What kind of update it is.
+        /// The type of the update.
         update: EndpointUpdate,
         /// The endpoints in it.
         endpoints: Arc<Vec<Endpoint>>,
     },
 }
 
-/// What a proxy sends to the world; the order of outputs is kept.
+/// What a proxy sends to the world. The world takes the outputs of a proxy in their order.
 #[derive(Clone, Copy, Debug)]
 pub enum ProxyOutput {
     /// An attempt is sent to a backend.
@@ -46,7 +46,7 @@
         key: AttemptKey,
         /// The number of the backend.
         backend: u32,
-        /// How long the request was queued; set for the first attempt only.
+        /// The time from the request's arrival to this attempt, if it is the request's first.
         queue_delay: Option<Micros>,
     },
     /// An attempt is cancelled.
--- a/crates/fleet-simulator/src/simulated/mod.rs
+++ b/crates/fleet-simulator/src/simulated/mod.rs
@@ -1,18 +1,24 @@
-//! Simulated proxies: many balancers in one process, on a simulated clock. They share nothing but
-//! the world around them, which moves in steps: in each, all proxies have their tick in parallel,
-//! then what they sent reaches the world in the order of their numbers. So the number of threads
-//! changes no figure.
+//! Simulated proxies: many balancers in one process, on a simulated clock.
+//!
+//! The proxies share nothing but the world around them, which moves in steps of 5 ms. In each step
+//! all proxies run one tick, in parallel. Then the world takes what they sent, in the order of the
+//! proxies' numbers. So the figures do not depend on the number of threads.
 //!
 //! The model is simpler than reality, which limits what its figures show:
-//! - A backend has two processors and works on all its attempts at once; an attempt's duration is set as it
-//!   arrives, by its work, by how many attempts are there then and by how far the backend has warmed up. A backend
-//!   rejects attempts beyond 64.
-//! - An attempt reaches its backend at once and without a handshake; connections are only counted, one kept for
-//!   each backend that a proxy used, whatever [`brookstack_balancer::Action::LimitIdleConnections`] says.
-//! - Attempts on a backend that stops end as resets at the time at which they would have been served.
-//! - A watch in place is renewed at no cost; discovery's time goes into calls after a start or a failure.
-//! - Backends that are overloaded while they warm up are counted and go on.
-//! - Clients wait 2 s, send requests of one idempotent class, and never retry by themselves.
+//! - A backend has two processors. It works on all its attempts at once, and rejects attempts
+//!   beyond 64.
+//! - The duration of an attempt is set when it arrives at its backend. It depends on the work of
+//!   the attempt, on how many attempts the backend has then, and on how far the backend has warmed
+//!   up.
+//! - An attempt reaches its backend at once and without a handshake.
+//! - Connections are only counted. A proxy keeps one connection to each backend that it has used,
+//!   whatever [`brookstack_balancer::Action::LimitIdleConnections`] says.
+//! - When a backend stops, its attempts end as resets. Each ends at the time at which it would have
+//!   been served.
+//! - A proxy renews a watch at no cost. Discovery spends time only on the calls that proxies make
+//!   after a start or a failure.
+//! - A backend that is overloaded while it warms up is counted, but goes on.
+//! - Clients wait 2 s for an answer, send requests of one idempotent class, and never retry.
 
 pub mod backend;
 pub mod backends;
@@ -38,16 +44,16 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Instant;
 
-/// What the run cost on this machine: not part of the figures, for it differs from run to run.
+/// What the run cost on this machine. It differs from run to run, so it is not part of the figures.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Cost {
-    /// Threads.
+    /// The number of threads.
     pub threads: usize,
     /// Real time, s.
     pub wall_secs: f64,
-    /// Growth of this process's resident memory over the run, KB a proxy: the balancer's state, and
-    /// its requests'. Of the first run of a process only: a later one reuses what earlier ones
-    /// freed.
+    /// Growth of this process's resident memory over the run, KB per proxy. It holds the state of
+    /// the balancers and of their requests. `None` after the first run of a process, as a later run
+    /// reuses memory that earlier ones have freed.
     #[serde(rename = "kb_a_proxy")]
     pub kb_per_proxy: Option<f64>,
 }
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -1,4 +1,5 @@
-//! The record of the changes that discovery knows of, and of which proxy was notified of them when.
+//! The propagation of changes: which changes discovery has, and when each proxy was notified of
+//! them.
 
 use super::timeline::{BackendChange, Outage};
 use crate::histogram::{millis, new_histogram_up_to, quantile_ms};
@@ -7,26 +8,29 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// A proxy counts as notified of a change this long after discovery had it and could be reached.
+/// The time within which a proxy has to be notified of a change. It begins when discovery has the
+/// change and can be reached.
 pub const NOTIFICATION_DEADLINE: Micros = Micros(6_000_000);
-/// The time that a proxy has to act on what it was notified of.
+/// The time that a proxy has to act on a notification.
 pub const REACTION_TIME: Micros = Micros(500_000);
 
 /// The longest delay that the histogram resolves, us.
 const MAX_RECORDED_DELAY_MICROS: u64 = 3_600_000_000;
 
-/// Whether an attempt on a backend that takes no new requests is a fault of the proxy.
+/// Whether a proxy sent an attempt too late: to a backend that it should have known to take no new
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lateness {
-    /// The proxy could not know, or was notified a moment ago.
+    /// The proxy could not know it, or was notified within the last [`REACTION_TIME`].
     InTime,
     /// The proxy had been notified for longer than [`REACTION_TIME`].
     AfterNotification,
-    /// The proxy had not been notified, and [`NOTIFICATION_DEADLINE`] had passed.
+    /// The proxy was notified too late or not at all: [`NOTIFICATION_DEADLINE`] and
+    /// [`REACTION_TIME`] had passed.
     AfterDeadline,
 }
 
-/// A proxy was notified of the changes up to a number.
+/// A notification of a proxy, after which it knows of all changes up to a number.
 #[derive(Clone, Copy, Debug)]
 struct Notification {
     /// How many changes the proxy knew of from then on.
@@ -34,7 +38,7 @@
     at: Time,
 }
 
-/// What one proxy's process knows of the changes.
+/// What the present process of a proxy knows of the changes.
 struct ProxyKnowledge {
     /// When the process started.
     started_at: Time,
@@ -66,20 +70,23 @@
     }
 }
 
-/// How long changes took to reach proxies, over all pairs of proxy and change.
+/// How long changes took to reach proxies, over all pairs of a proxy and a change.
+///
+/// The delay of a pair begins when discovery has the change and can be reached by the process of
+/// the proxy. It ends when the proxy is notified.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PropagationFigures {
-    /// From "could be reached" to "notified", ms: median.
+    /// The median delay, ms.
     pub delay_p50_ms: f64,
-    /// The same, 99 in 100.
+    /// The 99th percentile of the delay, ms.
     pub delay_p99_ms: f64,
-    /// The longest, those without a notification by the end included, ms.
+    /// The longest delay, ms. A pair without a notification counts with its delay until the end.
     pub delay_max_ms: f64,
-    /// Pairs that took longer than [`NOTIFICATION_DEADLINE`].
+    /// Pairs whose delay is over [`NOTIFICATION_DEADLINE`], also without a notification.
     pub after_deadline: u64,
     /// Pairs without a notification by the end.
     pub not_notified: u64,
-    /// All pairs.
+    /// All pairs, those without a notification included.
     pub pairs: u64,
 }
 
@@ -89,10 +96,11 @@
     changes: Vec<BackendChange>,
     proxies: Vec<ProxyKnowledge>,
     delays: Histogram<u64>,
-    /// Pairs of proxy and change with a notification.
+    /// Pairs of a proxy and a change with a notification.
     notified_pairs: u64,
     notified_after_deadline: u64,
-    /// For each backend that takes no new requests: the first change since it was last ready.
+    /// For each backend that takes no new requests: the number of the first change since it was
+    /// last ready.
     unavailable_since: BTreeMap<u32, usize>,
 }
 
@@ -169,12 +177,12 @@
         }
     }
 
-    /// Records a new process of a proxy, with the list as it was after that many changes.
+    /// Records a new process of a proxy. Its list is that after the first `known_changes` changes.
     pub fn record_restart(&mut self, proxy: u32, now: Time, known_changes: usize) {
         self.proxies[proxy as usize] = ProxyKnowledge::new(now, known_changes);
     }
 
-    /// When discovery had a change and could be reached by that process.
+    /// When discovery had a change and that process could reach it.
     fn reachable_at(&self, change: usize, knowledge: &ProxyKnowledge) -> Time {
         let made_at = self.changes[change].at;
         let available_at = match self.outage {
@@ -184,7 +192,7 @@
         available_at.max(knowledge.started_at)
     }
 
-    /// Judges an attempt that a proxy sends now to a backend.
+    /// Whether an attempt that a proxy sends to a backend now is too late.
     pub fn lateness(&self, now: Time, proxy: u32, backend: u32) -> Lateness {
         let Some(change) = self.unavailable_since.get(&backend).copied() else {
             return Lateness::InTime;
--- a/crates/fleet-simulator/src/simulated/proxy/actions.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/actions.rs
@@ -9,6 +9,7 @@
 };
 
 impl Proxy {
+    /// Carries out one action.
     pub(super) fn carry_out(&mut self, now: Time, action: Action, shared: &SharedContext) {
         match action {
             Action::Dispatch { request, backend } => self.dispatch(now, request, backend, shared),
@@ -23,7 +24,7 @@
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
             Action::SetTimer { token, after } => self.timers.set(now + after, token),
             Action::WatchEndpoints => self.outputs.push(ProxyOutput::WatchEndpoints),
-            // One connection to each backend is kept here, whatever the balancer's limit is.
+            // The model keeps one connection to each backend, whatever limit the balancer sets.
             Action::LimitIdleConnections { .. } | Action::Log(_) => {}
         }
     }
@@ -52,7 +53,8 @@
         });
     }
 
-    /// The request was answered in the same tick: the attempt is not sent, as in the real proxy.
+    /// Tells the balancer that an attempt was not sent. As in the real proxy, that happens when the
+    /// request has been answered in the same tick.
     fn report_not_sent(&mut self, request: RequestId, attempt: AttemptNumber) {
         self.next_tick_events.push(Event::AttemptEnded(AttemptEnd {
             request,
--- a/crates/fleet-simulator/src/simulated/proxy/connections.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/connections.rs
@@ -1,5 +1,5 @@
-//! The connections of one proxy to backends: one to each backend that it used, open until it has
-//! idled out.
+//! The connections of one proxy to backends. There is one for each backend that it has used, open
+//! until it has been idle for too long.
 
 use crate::simulated::context::SharedContext;
 use brookstack_balancer::Time;
@@ -14,7 +14,7 @@
     last_used_at: Option<Time>,
 }
 
-/// The connections of one proxy, and what is counted of them.
+/// The connections of one proxy, and the counts of attempts and new connections.
 #[derive(Debug, Default)]
 pub struct Connections {
     /// The backends that it has used, by number.
--- a/crates/fleet-simulator/src/simulated/proxy/mod.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/mod.rs
@@ -1,6 +1,6 @@
-//! One simulated proxy: the balancer with a clock that is given, clients of its own, and no
-//! sockets. It drives the balancer as the real proxy does: once a tick it takes in events, then
-//! timers.
+//! One simulated proxy: the balancer, with clients of its own, on the simulated clock and without
+//! sockets. It drives the balancer as the real proxy does: once a tick it passes on events, then
+//! expired timers.
 
 mod actions;
 mod clients;
@@ -35,11 +35,11 @@
     requests: OpenRequests,
     inbox: Inbox,
     timers: TimerQueue,
-    /// Events that one tick produces for the next.
+    /// Events that were produced in one tick and are passed on in the next.
     next_tick_events: Vec<Event>,
-    /// A buffer for the balancer's actions.
+    /// A buffer for the balancer's actions, empty between events.
     actions: Vec<Action>,
-    /// What it has sent since this was last emptied.
+    /// What it has sent and the world has not taken yet.
     pub outputs: Vec<ProxyOutput>,
     /// What became of its requests.
     pub counts: RequestCounts,
@@ -78,13 +78,13 @@
         })
     }
 
-    /// Puts an input into the inbox that will reach the proxy at that time.
+    /// Sends the proxy an input, which reaches it at that time.
     pub fn deliver(&mut self, at: Time, input: ProxyInput) {
         self.inbox.push(at, input);
     }
 
-    /// The process ends and another one begins in the same moment; its clients stay. Returns the
-    /// attempts that were in flight.
+    /// Replaces the process by a new one in the same moment. The clients stay. Returns the attempts
+    /// that were in flight.
     pub fn restart(
         &mut self,
         fleet_seed: u64,
@@ -114,12 +114,12 @@
         attempts
     }
 
-    /// Requests that wait for their answer.
+    /// How many requests have no answer yet.
     pub fn unanswered(&self) -> u64 {
         self.requests.unanswered()
     }
 
-    /// One tick of the balancer with all that has arrived since the last one.
+    /// Runs one tick: passes all that is due to the balancer.
     pub fn tick(&mut self, now: Time, shared: &SharedContext) {
         if !self.is_due(now) {
             return;
--- a/crates/fleet-simulator/src/simulated/proxy/open_requests.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/open_requests.rs
@@ -17,7 +17,7 @@
 pub struct OpenRequest {
     /// When it arrived.
     pub arrived_at: Time,
-    /// It has had its final response.
+    /// Whether it has had its final response.
     pub is_answered: bool,
     /// Its attempts that have not ended.
     pub in_flight: Vec<InFlightAttempt>,
@@ -25,7 +25,7 @@
 }
 
 impl OpenRequest {
-    /// The number of a further attempt.
+    /// Numbers a further attempt.
     pub fn next_attempt(&mut self) -> AttemptNumber {
         let number = AttemptNumber(self.attempts_so_far);
         self.attempts_so_far += 1;
@@ -56,9 +56,10 @@
 #[derive(Default)]
 pub struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
-    /// When clients give up. All wait equally long: deadlines come in the order of arrival.
+    /// When clients give up. All clients wait equally long, so this is in the order of time.
     client_deadlines: VecDeque<Deadline>,
-    /// When the balancer has to have answered a request whose client gave up, in the order of time.
+    /// Until when the balancer has to answer a request whose client has given up, in the order of
+    /// time.
     response_deadlines: VecDeque<Deadline>,
 }
 
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Sets when the balancer has to have answered a request whose client gave up.
+    /// Sets until when the balancer has to answer a request whose client has given up.
     pub fn push_response_deadline(&mut self, deadline: Deadline) {
         self.response_deadlines.push_back(deadline);
     }
@@ -126,12 +127,12 @@
         pop_due(&mut self.client_deadlines, now)
     }
 
-    /// Takes the next request that the balancer has to have answered by now.
+    /// Takes the next request that the balancer had to answer by now.
     pub fn pop_response_deadline(&mut self, now: Time) -> Option<Deadline> {
         pop_due(&mut self.response_deadlines, now)
     }
 
-    /// Whether a deadline has come by now.
+    /// Whether any deadline has passed.
     pub fn is_due(&self, now: Time) -> bool {
         let fronts = [
             self.client_deadlines.front(),
--- a/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
@@ -8,14 +8,14 @@
     /// Requests that arrived.
     #[serde(rename = "came")]
     pub arrived: u64,
-    /// Served.
+    /// Requests that were served.
     pub served: u64,
     /// Rejected by the balancer: the client may safely retry.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Failed by the balancer.
     pub failed: u64,
-    /// Without the balancer's response when their time was up.
+    /// Not answered by the balancer in time.
     pub unanswered: u64,
     /// Open when their proxy restarted.
     #[serde(rename = "cut")]
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet: the changes of a scenario, made up before the run.
+//! The scenarios: what happens to a fleet. The timeline of a scenario is made before the run.
 
 use super::context::MeasurementWindow;
 use super::timeline::{BackendChange, Outage, Timeline};
@@ -10,40 +10,45 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-/// What happens.
+/// What happens to a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Scenario {
-    /// Single backends are replaced, as on an ordinary day.
+    /// Single backends are replaced, as in normal operation.
     Calm,
-    /// Discovery is down for 8 s; backends begin to drain meanwhile and after its return.
+    /// Discovery is down for 8 s. Some backends begin to drain during the outage, others after it.
     Outage,
-    /// A rack fails and comes back cold.
+    /// A rack fails and comes back cold: its backends have to warm up.
     Cold,
-    /// All proxies restart at once with an old list.
+    /// All proxies restart at once with an old endpoint list.
     Release,
-    /// All proxies restart at once, with a list that contains a rack that comes back cold in that
-    /// moment.
+    /// All proxies restart at once. In the same moment a rack comes back cold, and their endpoint
+    /// list contains it already.
     Rebirth,
 }
 
 /// How long discovery is down.
 const OUTAGE_DURATION: Micros = Micros(8_000_000);
-/// The outage begins, and a rack fails, this long after the warm-up.
+/// An outage begins, or a rack fails, this long after the begin of the measurement window.
 const FAULT_DELAY: Micros = Micros(1_000_000);
-/// Backends drain this long after the outage's begin, and this long after its end.
+/// Backends begin to drain this long after the begin of the outage.
 const DRAIN_DELAY_IN_OUTAGE: Micros = Micros(2_000_000);
+/// Backends begin to drain this long after the end of the outage.
 const DRAIN_DELAY_AFTER_OUTAGE: Micros = Micros(500_000);
-/// Fraction of the backends that drain during the outage, after it, and before a release.
+/// The fraction of the backends that begin to drain together: during an outage, after it, or before
+/// a release.
 const DRAINED_FRACTION: f64 = 0.02;
-/// A replaced backend drains for this long, and is then absent for this long.
+/// How long a backend that is replaced drains.
 const DRAIN_DURATION: Micros = Micros(2_000_000);
+/// How long it is absent after that.
 const REPLACEMENT_DURATION: Micros = Micros(3_000_000);
 /// How long a failed rack is absent.
 const RACK_DOWNTIME: Micros = Micros(4_000_000);
-/// A release comes this long after the backends that its list does not know of began to drain.
+/// Before a release some backends begin to drain, which the proxies' old list does not show. The
+/// proxies restart this long after that.
 const RELEASE_DELAY: Micros = Micros(3_000_000);
-/// The least rate that the generator of replacement times accepts.
+/// The least rate of replacements, per second, that the generator of their times is built with. It
+/// accepts no rate of 0.
 const MIN_REPLACEMENT_RATE: f64 = 1e-9;
 
 /// What a scenario's timeline depends on.
@@ -51,18 +56,18 @@
 pub struct TimelineSettings {
     /// How many backends there are.
     pub backends: usize,
-    /// How many of them form a rack.
+    /// How many of them form the rack that fails.
     pub rack_size: usize,
-    /// Backends replaced a second, on a calm day.
+    /// Backends replaced a second, in [`Scenario::Calm`].
     pub replacements_per_second: f64,
-    /// The time in which things happen.
+    /// The time over which figures are counted; changes are made in it.
     pub window: MeasurementWindow,
     /// The seed of all that is random.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// The least time after the warm-up in which the scenario shows its effects, s.
+    /// The least length of the measurement window in which the scenario shows its effects, s.
     pub fn min_secs(self) -> f64 {
         match self {
             Scenario::Calm => 0.5,
@@ -71,7 +76,7 @@
         }
     }
 
-    /// Makes up the scenario's timeline.
+    /// Makes the scenario's timeline.
     pub fn timeline(self, settings: TimelineSettings) -> Timeline {
         let mut builder = TimelineBuilder {
             random: Pcg64Mcg::seed_from_u64(settings.seed),
@@ -157,7 +162,7 @@
         returns_at
     }
 
-    /// Some backends drain, then all proxies restart with a list that does not know of it.
+    /// Some backends begin to drain. Then all proxies restart with a list in which these are ready.
     fn release(&mut self) {
         let start = self.settings.window.start;
         self.drain_some(start);
