--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -170,14 +170,14 @@
 }
 
 fn notification_delay(run: &FleetRun) -> String {
-    let figures = &run.figures.discovery;
+    let figures = &run.figures.discovery.propagation;
     let secs = |ms: f64| ms / 1000.0;
     format!(
         "{:.3} / {:.2} / {:.2}; {} of {}",
         secs(figures.delay_p50_ms),
         secs(figures.delay_p99_ms),
         secs(figures.delay_max_ms),
-        figures.notified_after_deadline,
+        figures.after_deadline,
         figures.pairs
     )
 }
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -36,7 +36,7 @@
         ),
         Check::at_most(
             "changes told to a proxy later than 6 s",
-            figures.discovery.notified_after_deadline as f64,
+            figures.discovery.propagation.after_deadline as f64,
             0.0,
         ),
         Check::at_most(
--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -30,21 +30,9 @@
     /// Watches that ended because discovery went down.
     #[serde(rename = "broken")]
     pub watches_broken: u64,
-    /// From "could be reached" to "notified", over all proxies and changes, ms: median.
-    pub delay_p50_ms: f64,
-    /// The same, 99 in 100.
-    pub delay_p99_ms: f64,
-    /// The longest, those without a notification by the end included, ms.
-    pub delay_max_ms: f64,
-    /// Pairs of proxy and change that took longer than 6 s, those without a notification by the end
-    /// included.
-    #[serde(rename = "over_6s")]
-    pub notified_after_deadline: u64,
-    /// Pairs without a notification by the end.
-    #[serde(rename = "untold")]
-    pub not_notified: u64,
-    /// Pairs of proxy and change in all.
-    pub pairs: u64,
+    /// How long changes took to reach proxies.
+    #[serde(flatten)]
+    pub propagation: PropagationFigures,
 }
 
 /// What one proxy has asked of discovery.
@@ -215,26 +203,13 @@
 
     /// What was counted until the end of the run.
     pub fn figures(&self, end: Time) -> DiscoveryFigures {
-        let PropagationFigures {
-            delay_p50_ms,
-            delay_p99_ms,
-            delay_max_ms,
-            after_deadline,
-            not_notified,
-            pairs,
-        } = self.changes.figures(end);
         DiscoveryFigures {
             changes: self.changes.count(),
             calls: self.counts.calls,
             calls_refused: self.counts.refused,
             calls_timed_out: self.counts.timed_out,
             watches_broken: self.counts.watches_broken,
-            delay_p50_ms,
-            delay_p99_ms,
-            delay_max_ms,
-            notified_after_deadline: after_deadline,
-            not_notified,
-            pairs,
+            propagation: self.changes.figures(end),
         }
     }
 }
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -1,6 +1,7 @@
 //! How the attempts of a fleet were spread over backends, proxies and connections.
 
 use super::backend::Backend;
+use super::proxy::connections::ConnectionCounts;
 use super::proxy::Proxy;
 use crate::world::MACHINE_TYPES;
 use serde::Serialize;
@@ -120,7 +121,8 @@
             backends_per_proxy: CountRange::of(used_backends),
             attempts_per_proxy: CountRange::of(attempts),
             proxies_per_backend: CountRange::of(only_unchanged(&users, unchanged).copied()),
-            new_connections_per_attempt: [0, 1].map(|half| new_connections(proxies, half)),
+            new_connections_per_attempt: [0, 1]
+                .map(|half| new_connections_per_attempt(proxies, half)),
         }
     }
 }
@@ -162,27 +164,27 @@
 }
 
 /// New connections per attempt in one half of the window.
-fn new_connections(proxies: &[Proxy], half: usize) -> f64 {
-    let opened: u64 = proxies.iter().map(|p| p.connections.opened[half]).sum();
-    let attempts: u64 = proxies.iter().map(|p| p.connections.attempts[half]).sum();
-    opened as f64 / (attempts as f64).max(1.0)
+fn new_connections_per_attempt(proxies: &[Proxy], half: usize) -> f64 {
+    let mut sum = ConnectionCounts::default();
+    for proxy in proxies {
+        sum.add(&proxy.connections.halves[half]);
+    }
+    sum.opened as f64 / (sum.attempts as f64).max(1.0)
 }
 
-/// The largest of `count` random Poisson numbers, over their mean: the median of that ratio.
+/// How evenly random choices alone would spread the load: the largest of `count` Poisson numbers over
+/// their mean, as the median of many samples.
+///
+/// A sample's largest number is at least k with a probability of `1 - exp(-count * tail)`, where
+/// `tail` is the probability that a single number is at least k. The median is the k at which
+/// `count * tail` reaches ln 2.
 pub fn largest_by_chance(mean: f64, count: usize) -> f64 {
     if mean <= 0.0 || count == 0 {
         return 0.0;
     }
-    // Sums the distribution's tail from far out, until half of all samples contain a number that is
-    // this large.
+    // Numbers beyond 12 standard deviations have no weight, also with small means.
     let far_out = (mean + 12.0 * mean.sqrt() + 24.0) as usize;
-    let mut log_probability = -mean;
-    let log_probabilities: Vec<f64> = (0..=far_out)
-        .map(|k| {
-            log_probability += if k > 0 { (mean / k as f64).ln() } else { 0.0 };
-            log_probability
-        })
-        .collect();
+    let log_probabilities = poisson_log_probabilities(mean, far_out);
     let mut tail = 0.0;
     for (k, log_probability) in log_probabilities.iter().enumerate().rev() {
         tail += log_probability.exp();
@@ -192,3 +194,14 @@
     }
     0.0
 }
+
+/// The natural logarithms of the probabilities of 0 to `largest` in a Poisson distribution.
+fn poisson_log_probabilities(mean: f64, largest: usize) -> Vec<f64> {
+    let mut log_probability = -mean;
+    let mut log_probabilities = vec![log_probability];
+    for k in 1..=largest {
+        log_probability += (mean / k as f64).ln();
+        log_probabilities.push(log_probability);
+    }
+    log_probabilities
+}
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -6,6 +6,7 @@
 use crate::world;
 use brookstack_balancer::{BackendState, Endpoint, Micros, Time};
 use hdrhistogram::Histogram;
+use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// The time within which a proxy has to be notified of a change. It begins when discovery has the
@@ -74,7 +75,7 @@
 ///
 /// The delay of a pair begins when discovery has the change and can be reached by the process of
 /// the proxy. It ends when the proxy is notified.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PropagationFigures {
     /// The median delay, ms.
     pub delay_p50_ms: f64,
@@ -83,8 +84,10 @@
     /// The longest delay, ms. A pair without a notification counts with its delay until the end.
     pub delay_max_ms: f64,
     /// Pairs whose delay is over [`NOTIFICATION_DEADLINE`], also without a notification.
+    #[serde(rename = "over_6s")]
     pub after_deadline: u64,
     /// Pairs without a notification by the end.
+    #[serde(rename = "untold")]
     pub not_notified: u64,
     /// All pairs, those without a notification included.
     pub pairs: u64,
@@ -95,9 +98,11 @@
     outage: Option<Outage>,
     changes: Vec<BackendChange>,
     proxies: Vec<ProxyKnowledge>,
+    /// The delays of pairs with a notification, us.
     delays: Histogram<u64>,
     /// Pairs of a proxy and a change with a notification.
     notified_pairs: u64,
+    /// Those of them whose delay is over [`NOTIFICATION_DEADLINE`].
     notified_after_deadline: u64,
     /// For each backend that takes no new requests: the number of the first change since it was
     /// last ready.
@@ -145,16 +150,13 @@
 
     /// The newest state of each backend that changed after the first `known_changes` changes.
     pub fn endpoints_since(&self, known_changes: usize) -> Vec<Endpoint> {
-        let newest: BTreeMap<u32, &BackendChange> = self.changes[known_changes..]
-            .iter()
-            .map(|change| (change.backend, change))
-            .collect();
-        newest
-            .values()
-            .map(|change| {
-                world::balancer_endpoint(change.backend as usize, change.state, change.started_at)
-            })
-            .collect()
+        let mut newest: BTreeMap<u32, Endpoint> = BTreeMap::new();
+        for change in &self.changes[known_changes..] {
+            let number = change.backend as usize;
+            let endpoint = world::balancer_endpoint(number, change.state, change.started_at);
+            newest.insert(change.backend, endpoint);
+        }
+        newest.into_values().collect()
     }
 
     /// Records that a proxy has now been notified of all changes.
@@ -214,31 +216,41 @@
         self.changes.iter().map(|change| change.backend)
     }
 
-    /// The delays until the end of the run.
+    /// The figures at the end of the run.
     pub fn figures(&self, end: Time) -> PropagationFigures {
-        let longest_notified = if self.delays.is_empty() {
-            0
-        } else {
-            self.delays.max()
-        };
-        let mut longest = Micros(longest_notified);
-        let mut not_notified = 0;
-        let mut after_deadline = self.notified_after_deadline;
-        for knowledge in &self.proxies {
-            for change in knowledge.known_changes..self.changes.len() {
-                let delay = end - self.reachable_at(change, knowledge);
-                longest = longest.max(delay);
-                not_notified += 1;
-                after_deadline += u64::from(delay > NOTIFICATION_DEADLINE);
-            }
-        }
+        let pending = self.pending_delays(end);
+        let is_late = |delay: &&Micros| **delay > NOTIFICATION_DEADLINE;
+        let pending_after_deadline = pending.iter().filter(is_late).count() as u64;
+        let longest_pending = pending.iter().copied().max().unwrap_or(Micros(0));
+        let longest = longest_pending.max(self.longest_notified_delay());
+        let not_notified = pending.len() as u64;
         PropagationFigures {
             delay_p50_ms: quantile_ms(&self.delays, 0.5),
             delay_p99_ms: quantile_ms(&self.delays, 0.99),
             delay_max_ms: millis(longest.0),
-            after_deadline,
+            after_deadline: self.notified_after_deadline + pending_after_deadline,
             not_notified,
             pairs: self.notified_pairs + not_notified,
         }
     }
+
+    /// The longest delay of a pair with a notification, 0 if there is none.
+    fn longest_notified_delay(&self) -> Micros {
+        // The maximum of an empty histogram is undefined.
+        if self.delays.is_empty() {
+            return Micros(0);
+        }
+        Micros(self.delays.max())
+    }
+
+    /// The delays until `end` of all pairs without a notification.
+    fn pending_delays(&self, end: Time) -> Vec<Micros> {
+        let mut delays = Vec::new();
+        for knowledge in &self.proxies {
+            for change in knowledge.known_changes..self.changes.len() {
+                delays.push(end - self.reachable_at(change, knowledge));
+            }
+        }
+        delays
+    }
 }
--- a/crates/fleet-simulator/src/simulated/proxy/connections.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/connections.rs
@@ -14,15 +14,30 @@
     last_used_at: Option<Time>,
 }
 
+/// Counts of attempts, and of the connections that were opened for them.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ConnectionCounts {
+    /// Attempts.
+    pub attempts: u64,
+    /// New connections.
+    pub opened: u64,
+}
+
+impl ConnectionCounts {
+    /// Adds the counts of another proxy.
+    pub fn add(&mut self, other: &ConnectionCounts) {
+        self.attempts += other.attempts;
+        self.opened += other.opened;
+    }
+}
+
 /// The connections of one proxy, and the counts of attempts and new connections.
 #[derive(Debug, Default)]
 pub struct Connections {
     /// The backends that it has used, by number.
     pub backends: HashMap<u32, BackendUse>,
-    /// Attempts in each half of the measurement window.
-    pub attempts: [u64; 2],
-    /// New connections in each half of the window.
-    pub opened: [u64; 2],
+    /// The counts of each half of the measurement window.
+    pub halves: [ConnectionCounts; 2],
 }
 
 impl Connections {
@@ -35,8 +50,9 @@
         backend_use.last_used_at = Some(now);
         if let Some(half) = shared.window.half(now) {
             backend_use.attempts += 1;
-            self.attempts[half] += 1;
-            self.opened[half] += u64::from(!is_open);
+            let counts = &mut self.halves[half];
+            counts.attempts += 1;
+            counts.opened += u64::from(!is_open);
         }
     }
 
@@ -54,6 +70,6 @@
 
     /// The attempts in the whole window.
     pub fn total_attempts(&self) -> u64 {
-        self.attempts.iter().sum()
+        self.halves.iter().map(|half| half.attempts).sum()
     }
 }
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -138,7 +138,7 @@
     ] {
         assert!(failed.contains(&name), "{name}: {:?}", figures.checks);
     }
-    assert!(figures.discovery.not_notified > 0);
+    assert!(figures.discovery.propagation.not_notified > 0);
 }
 
 #[test]
