--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -172,8 +172,8 @@
     sum.opened as f64 / (sum.attempts as f64).max(1.0)
 }
 
-/// How evenly random choices alone would spread the load: the largest of `count` Poisson numbers over
-/// their mean, as the median of many samples.
+/// How evenly random choices alone would spread the load: the largest of `count` Poisson numbers
+/// over their mean, as the median of many samples.
 ///
 /// A sample's largest number is at least k with a probability of `1 - exp(-count * tail)`, where
 /// `tail` is the probability that a single number is at least k. The median is the k at which
--- a/crates/fleet-simulator/tests/command.rs
+++ b/crates/fleet-simulator/tests/command.rs
@@ -3,14 +3,24 @@
 
 use std::process::Command;
 
-/// Runs the program. Returns its exit code, and its standard output and error together.
-fn run(arguments: &[&str]) -> (i32, String) {
+/// What a run of the program ended with.
+struct Ended {
+    exit_code: i32,
+    /// Standard output, followed by standard error.
+    text: String,
+}
+
+/// Runs the program.
+fn run(arguments: &[&str]) -> Ended {
     let output = Command::new(env!("CARGO_BIN_EXE_brookstack-fleet-simulator"))
         .args(arguments)
         .output()
         .expect("the program starts");
     let text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
-    (output.status.code().unwrap_or(-1), text.into_owned())
+    Ended {
+        exit_code: output.status.code().unwrap_or(-1),
+        text: text.into_owned(),
+    }
 }
 
 /// A fleet that runs in about a second.
@@ -54,8 +64,8 @@
         ),
         (vec!["nothing"], "nothing"),
     ] {
-        let (code, text) = run(&arguments);
-        assert_eq!(code, 2, "{arguments:?}: {text}");
+        let Ended { exit_code, text } = run(&arguments);
+        assert_eq!(exit_code, 2, "{arguments:?}: {text}");
         assert!(text.contains(expected), "{arguments:?}: {text}");
     }
 }
@@ -63,12 +73,12 @@
 #[test]
 fn a_passing_fleet_exits_with_0_and_a_failed_check_with_1() {
     let run_with = |options: &[&'static str]| run(&[&SMALL_FLEET[..], options].concat());
-    let (code, text) = run_with(&["--rate", "20", "--secs", "6"]);
-    assert_eq!(code, 0, "{text}");
+    let Ended { exit_code, text } = run_with(&["--rate", "20", "--secs", "6"]);
+    assert_eq!(exit_code, 0, "{text}");
     assert!(text.contains("| 3 x 40 | calm |"), "{text}");
     // Many more requests than 40 backends can serve.
-    let (code, text) = run_with(&["--rate", "700", "--secs", "6"]);
-    assert_eq!(code, 1, "{text}");
+    let Ended { exit_code, text } = run_with(&["--rate", "700", "--secs", "6"]);
+    assert_eq!(exit_code, 1, "{text}");
     assert!(
         text.contains("check failed: calm, 3 x 40: part of the requests that was served"),
         "{text}"
@@ -93,8 +103,8 @@
             "--json",
             &path,
         ];
-        let (code, text) = run(&[&SMALL_FLEET[..], &options].concat());
-        assert_eq!(code, 0, "{text}");
+        let Ended { exit_code, text } = run(&[&SMALL_FLEET[..], &options].concat());
+        assert_eq!(exit_code, 0, "{text}");
         let bytes = std::fs::read(&file).expect("the file was written");
         std::fs::remove_file(&file).expect("the file can be removed");
         bytes
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -1,4 +1,4 @@
-//! The statistics behind the figures, and the checks on figures that no sound proxy produces.
+//! The statistics behind the figures, and the checks of figures that only a faulty proxy produces.
 
 use brookstack_fleet_simulator::simulated::checks::checks;
 use brookstack_fleet_simulator::simulated::load::{largest_by_chance, CountRange};
@@ -9,8 +9,8 @@
 
 #[test]
 fn the_expected_maximum_load_matches_poisson_tables() {
-    // One Poisson number of mean 100: its median is the mean. Of 10,000, the largest is 4 standard
-    // deviations above it.
+    // The median of a single Poisson number of mean 100 is about its mean. The largest of 10,000
+    // such numbers is about 4 standard deviations, each a tenth of the mean, above it.
     assert!((largest_by_chance(100.0, 1) - 1.0).abs() < 0.06);
     assert!(
         (1.36..1.44).contains(&largest_by_chance(100.0, 10_000)),
@@ -69,8 +69,8 @@
     assert!(group.iter().all(|p| p.zone == group[0].zone));
 }
 
-/// No sound balancer loses requests or uses backends that it knows to be draining, so the figures
-/// are altered here.
+/// The balancer does not lose requests, nor use backends that it knows to be draining. So this test
+/// alters the figures of a run.
 #[test]
 fn figures_that_show_a_fault_of_the_proxy_fail_their_check() {
     let setup = Setup {
@@ -88,7 +88,7 @@
         seed: 1,
         faults: FaultInjection::default(),
     };
-    let mut figures = simulated::run(&setup, 1).expect("a sound setup").figures;
+    let mut figures = simulated::run(&setup, 1).expect("a valid setup").figures;
     let failed = |figures: &simulated::figures::Figures| -> Vec<&'static str> {
         checks(figures)
             .iter()
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! A small fleet: its figures depend on nothing but its setup, and each check fails in a world with
-//! a matching fault.
+//! A small fleet. Its figures depend only on its setup, and each check fails in a world with the
+//! fault that it is to find.
 
 use brookstack_fleet_simulator::simulated::figures::{Check, Figures};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
 
-/// A calm day with 30 proxies and 200 backends.
+/// 30 proxies and 200 backends in the scenario `calm`.
 fn calm() -> Setup {
     Setup {
         scenario: Scenario::Calm,
@@ -26,7 +26,7 @@
 
 fn run(setup: &Setup, threads: usize) -> Figures {
     simulated::run(setup, threads)
-        .expect("a sound setup")
+        .expect("a valid setup")
         .figures
 }
 
@@ -105,14 +105,18 @@
         "{:?}",
         figures.checks
     );
-    let sound = run(
+    let without_fault = run(
         &Setup {
             faults: FaultInjection::default(),
             ..cold
         },
         3,
     );
-    assert!(!failed_checks(&sound).contains(&name), "{:?}", sound.checks);
+    assert!(
+        !failed_checks(&without_fault).contains(&name),
+        "{:?}",
+        without_fault.checks
+    );
 }
 
 #[test]
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -9,7 +9,7 @@
 use brookstack_fleet_simulator::world::DiscoveryMode;
 
 /// A cell that passes all checks.
-fn sound_cell() -> Cell {
+fn passing_cell() -> Cell {
     let stall = Stall {
         median_ms: 1.0,
         longest_ms: 2.0,
@@ -21,16 +21,16 @@
         list_is_known: false,
         requests_per_second: 70.0,
         ready_secs: 0.1,
-        memory: sound_memory(),
-        cpu: sound_cpu(),
+        memory: passing_memory(),
+        cpu: passing_cpu(),
         discovery: DiscoveryFigures {
             list_bytes: 26_080,
             idle_bytes_per_s: 30.0,
             change_bytes: 250.0,
             discovery_calls: 40,
         },
-        requests: sound_requests(),
-        latency: sound_latency(),
+        requests: passing_requests(),
+        latency: passing_latency(),
         stalls: StallFigures {
             without_event: stall,
             change: stall,
@@ -40,7 +40,7 @@
     }
 }
 
-fn sound_memory() -> MemoryFigures {
+fn passing_memory() -> MemoryFigures {
     MemoryFigures {
         rss_start_mb: 4.0,
         hwm_start_mb: 4.0,
@@ -50,7 +50,7 @@
     }
 }
 
-fn sound_cpu() -> CpuFigures {
+fn passing_cpu() -> CpuFigures {
     CpuFigures {
         cpu_idle_percent: 0.1,
         idle_secs: 20.0,
@@ -60,7 +60,7 @@
     }
 }
 
-fn sound_requests() -> RequestFigures {
+fn passing_requests() -> RequestFigures {
     RequestFigures {
         forwarded: 8_400,
         not_served: NotServed {
@@ -72,7 +72,7 @@
     }
 }
 
-fn sound_latency() -> LatencyFigures {
+fn passing_latency() -> LatencyFigures {
     LatencyFigures {
         added_p50_ms: 1.0,
         added_p99_ms: 6.0,
@@ -84,16 +84,16 @@
 
 #[test]
 fn a_cell_fails_when_it_is_ready_late_or_requests_get_no_response() {
-    assert_eq!(failed_cells(&[sound_cell()]), Vec::<String>::new());
+    assert_eq!(failed_cells(&[passing_cell()]), Vec::<String>::new());
     let late = Cell {
         ready_secs: 10.5,
-        ..sound_cell()
+        ..passing_cell()
     };
     assert_eq!(
-        failed_cells(&[sound_cell(), late]),
+        failed_cells(&[passing_cell(), late]),
         ["200 backends x 7 tenants: ready after 10.50 s"]
     );
-    let mut without_response = sound_cell();
+    let mut without_response = passing_cell();
     without_response.requests.not_served = NotServed {
         no_response: 1,
         ..NotServed::default()
@@ -106,11 +106,11 @@
 
 #[test]
 fn a_cell_measured_on_a_busy_machine_is_named() {
-    assert_eq!(disturbed_cells(&[sound_cell()]), Vec::<String>::new());
-    let mut busy = sound_cell();
+    assert_eq!(disturbed_cells(&[passing_cell()]), Vec::<String>::new());
+    let mut busy = passing_cell();
     busy.cpu.cpu_wait_percent = [0.0, 2.5, 0.0];
     let line = "200 backends x 7 tenants: without a core for 0.00 / 2.50 / 0.00 % of the time";
-    assert_eq!(disturbed_cells(&[sound_cell(), busy]), [line]);
+    assert_eq!(disturbed_cells(&[passing_cell(), busy]), [line]);
 }
 
 #[test]
@@ -127,7 +127,7 @@
 
 #[test]
 fn the_table_of_cells_shows_each_figure_under_its_title() {
-    let table = real_table(&[sound_cell()]).to_string();
+    let table = real_table(&[passing_cell()]).to_string();
     let lines: Vec<&str> = table.lines().collect();
     assert_eq!(lines.len(), 3);
     let columns: Vec<_> = texts(lines[0]).into_iter().zip(texts(lines[2])).collect();
@@ -169,7 +169,7 @@
 
 #[test]
 fn the_json_of_a_cell_keeps_its_keys_and_their_order() {
-    let json = serde_json::to_string(&sound_cell()).expect("JSON");
+    let json = serde_json::to_string(&passing_cell()).expect("JSON");
     let expected = concat!(
         r#"{"backends":200,"tenants":7,"mode":"automatic","known":false,"per_s":70.0,"#,
         r#""ready_secs":0.1,"rss_start_mb":4.0,"hwm_start_mb":4.0,"rss_load_mb":8.0,"#,
