--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -79,20 +79,22 @@
         let mut now = START;
         while now < end {
             now = now + STEP;
-            let mut changes = Vec::new();
-            while let Some(change) = upcoming.next_if(|change| change.at <= now) {
-                changes.push(change);
-            }
+            let due = std::iter::from_fn(|| upcoming.next_if(|change| change.at <= now));
+            let changes: Vec<BackendChange> = due.collect();
             self.move_world(now, &changes)?;
-            let shared = &self.shared;
-            self.proxies
-                .par_iter_mut()
-                .for_each(|proxy| proxy.tick(now, shared));
+            self.tick_proxies(now);
             self.take_outputs(now);
         }
         Ok(())
     }
 
+    /// Runs one tick of each proxy, on all threads of the pool.
+    fn tick_proxies(&mut self, now: Time) {
+        let shared = &self.shared;
+        let proxies = self.proxies.par_iter_mut();
+        proxies.for_each(|proxy| proxy.tick(now, shared));
+    }
+
     /// Moves the world around the proxies to the moment of their tick.
     fn move_world(&mut self, now: Time, changes: &[BackendChange]) -> Result<(), MeasurementError> {
         for change in changes {
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -29,9 +29,9 @@
 
 /// How long discovery is down.
 const OUTAGE_DURATION: Micros = Micros(8_000_000);
-/// An outage begins, or a rack fails, this long after the begin of the measurement window.
+/// An outage begins, or a rack fails, this long after the start of the measurement window.
 const FAULT_DELAY: Micros = Micros(1_000_000);
-/// Backends begin to drain this long after the begin of the outage.
+/// Backends begin to drain this long after the start of the outage.
 const DRAIN_DELAY_IN_OUTAGE: Micros = Micros(2_000_000);
 /// Backends begin to drain this long after the end of the outage.
 const DRAIN_DELAY_AFTER_OUTAGE: Micros = Micros(500_000);
@@ -96,9 +96,8 @@
             Scenario::Release => builder.release(),
         }
         let mut timeline = builder.timeline;
-        timeline
-            .changes
-            .sort_by_key(|change| (change.at, change.backend));
+        let changes = &mut timeline.changes;
+        changes.sort_by_key(|change| (change.at, change.backend));
         timeline
     }
 }
