--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -1,8 +1,11 @@
-//! An open-loop load of Poisson arrivals, and what its clients see.
+//! The load on the proxy: Poisson arrivals that do not wait for earlier responses, and what the
+//! clients observe.
 
 use super::backends::{since_start, Stamp};
 use super::client::{connect, exchange, ClientError, Connection};
+use crate::arrivals::arrival_intervals;
 use crate::failure::{Failure, InputError};
+use crate::histogram::new_histogram;
 use crate::world::tenant_name;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -19,21 +22,14 @@
 
 /// How long a client waits for its answer, ms.
 const CLIENT_TIMEOUT_MS: u64 = 2_000;
-/// The longest time that the histograms resolve, us.
-const MAX_RECORDED_MICROS: u64 = 60_000_000;
-
-/// Microseconds up to a minute, to three digits.
-fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3).expect("sound bounds")
-}
 
 /// What clients observed.
 pub struct Observations {
     /// Latency beyond the backend's service time, us, of served requests.
     pub added_latency: Histogram<u64>,
-    /// The part of it until the backend had the request.
+    /// The part of it until the backend had the request, us.
     pub before_backend: Histogram<u64>,
-    /// The part of it after the backend's response.
+    /// The part of it after the backend's response, us.
     pub after_backend: Histogram<u64>,
     /// Requests that were not served.
     pub not_served: NotServed,
@@ -45,7 +41,7 @@
     /// Rejected: 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed: another status.
+    /// Failed: a status other than 200, 429 and 503.
     pub failed: u64,
     /// Without a response.
     #[serde(rename = "broken")]
@@ -62,7 +58,7 @@
         }
     }
 
-    /// Adds what was observed at another time.
+    /// Adds the observations of another time.
     pub fn add(&mut self, other: &Observations) -> Result<(), Failure> {
         self.not_served.rejected += other.not_served.rejected;
         self.not_served.failed += other.not_served.failed;
@@ -124,7 +120,7 @@
     observations: Mutex<Observations>,
 }
 
-/// A Poisson stream of requests, each on a connection that is idle at that moment or on a new one.
+/// A Poisson stream of requests. Each uses a connection that is idle at its arrival, or a new one.
 pub struct Load {
     clients: Arc<Clients>,
     random: Pcg64Mcg,
@@ -141,11 +137,6 @@
         tenants: usize,
         seed: u64,
     ) -> Result<Load, InputError> {
-        let intervals =
-            Exp::new(requests_per_second).map_err(|source| InputError::ArrivalRate {
-                per_second: requests_per_second,
-                source,
-            })?;
         let clients = Clients {
             proxy,
             idle_connections: Mutex::default(),
@@ -154,7 +145,7 @@
         Ok(Load {
             clients: Arc::new(clients),
             random: Pcg64Mcg::seed_from_u64(seed),
-            intervals,
+            intervals: arrival_intervals(requests_per_second)?,
             tenants,
             next_arrival: Instant::now(),
         })
@@ -170,7 +161,7 @@
             self.next_arrival += Duration::from_secs_f64(interval);
             let tenant = (self.tenants > 0).then(|| self.random.random_range(0..self.tenants));
             let correlation_id = self.random.random();
-            // In a task of its own, so that a slow response delays no later request.
+            // Each request has a task of its own, so that a slow response delays no later request.
             tokio::spawn(self.clients.clone().send(correlation_id, tenant));
         }
         tokio::time::sleep_until(end.into()).await;
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -1,50 +1,16 @@
 //! The checks that the figures of every fleet have to pass.
 
-use super::figures::Figures;
-use serde::Serialize;
+use super::figures::{Check, Figures};
 
 /// The least fraction of the requests that has to be served.
 const MIN_SERVED_FRACTION: f64 = 0.98;
-/// What loads within a kind may spread beyond chance, as a fraction of the mean.
+/// The most by which the loads of one machine type may spread beyond chance, as a fraction of their
+/// mean.
 const MAX_EXCESS_SPREAD: f64 = 0.2;
-/// Kinds with a lower mean load are left out of the check of the spread.
+/// The check of the spread leaves out machine types with a lower mean load, in attempts per
+/// backend.
 const MIN_MEAN_LOAD: f64 = 1.0;
 
-/// A check of the figures.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Check {
-    /// What is checked.
-    pub name: &'static str,
-    /// Whether the figure keeps to its bound.
-    #[serde(rename = "holds")]
-    pub passed: bool,
-    /// The figure.
-    #[serde(rename = "got")]
-    pub measured: f64,
-    /// Its bound.
-    pub bound: f64,
-}
-
-impl Check {
-    fn at_most(name: &'static str, measured: f64, bound: f64) -> Check {
-        Check {
-            name,
-            passed: measured <= bound,
-            measured,
-            bound,
-        }
-    }
-
-    fn at_least(name: &'static str, measured: f64, bound: f64) -> Check {
-        Check {
-            name,
-            passed: measured >= bound,
-            measured,
-            bound,
-        }
-    }
-}
-
 /// The checks of these figures.
 pub fn checks(figures: &Figures) -> Vec<Check> {
     vec![
@@ -70,7 +36,7 @@
         ),
         Check::at_most(
             "changes told to a proxy later than 6 s",
-            figures.discovery.notified_after_deadline as f64,
+            figures.discovery.propagation.after_deadline as f64,
             0.0,
         ),
         Check::at_most(
@@ -94,12 +60,11 @@
     counts.arrived.abs_diff(ended + figures.open_at_end)
 }
 
+/// The largest spread of loads beyond chance that a machine type has.
 fn largest_excess_spread(figures: &Figures) -> f64 {
-    figures
-        .load
-        .kinds
-        .iter()
-        .filter(|kind| kind.mean >= MIN_MEAN_LOAD)
-        .map(|kind| kind.excess_spread)
+    let machine_types = figures.load.machine_types.iter();
+    machine_types
+        .filter(|load| load.mean >= MIN_MEAN_LOAD)
+        .map(|load| load.excess_spread)
         .fold(0.0, f64::max)
 }
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -1,47 +1,37 @@
-//! The record of the changes that discovery knows of, and of which proxy was notified of them when.
+//! The propagation of changes: which changes discovery has, and when each proxy was notified of
+//! them.
 
-use super::scenario::BackendChange;
+use super::timeline::{BackendChange, Outage};
+use crate::histogram::{millis, new_histogram_up_to, quantile_ms};
 use crate::world;
 use brookstack_balancer::{BackendState, Endpoint, Micros, Time};
 use hdrhistogram::Histogram;
+use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A proxy counts as notified of a change this long after discovery had it and could be reached.
+/// The time within which a proxy has to be notified of a change. It begins when discovery has the
+/// change and can be reached.
 pub const NOTIFICATION_DEADLINE: Micros = Micros(6_000_000);
-/// The time that a proxy has to act on what it was notified of.
+/// The time that a proxy has to act on a notification.
 pub const REACTION_TIME: Micros = Micros(500_000);
 
 /// The longest delay that the histogram resolves, us.
 const MAX_RECORDED_DELAY_MICROS: u64 = 3_600_000_000;
 
-/// The time over which discovery can't be reached.
-#[derive(Clone, Copy, Debug)]
-pub struct Outage {
-    /// Its first moment.
-    pub start: Time,
-    /// The first moment after it.
-    pub end: Time,
-}
-
-impl Outage {
-    /// Whether discovery is down at that time.
-    pub fn contains(&self, at: Time) -> bool {
-        self.start <= at && at < self.end
-    }
-}
-
-/// Whether an attempt on a backend that takes no new requests is a fault of the proxy.
+/// Whether a proxy sent an attempt too late: to a backend that it should have known to take no new
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lateness {
-    /// The proxy could not know, or was notified a moment ago.
+    /// The proxy could not know it, or was notified within the last [`REACTION_TIME`].
     InTime,
     /// The proxy had been notified for longer than [`REACTION_TIME`].
     AfterNotification,
-    /// The proxy had not been notified, and [`NOTIFICATION_DEADLINE`] had passed.
+    /// The proxy was notified too late or not at all: [`NOTIFICATION_DEADLINE`] and
+    /// [`REACTION_TIME`] had passed.
     AfterDeadline,
 }
 
-/// A proxy was notified of the changes up to a number.
+/// A notification of a proxy, after which it knows of all changes up to a number.
 #[derive(Clone, Copy, Debug)]
 struct Notification {
     /// How many changes the proxy knew of from then on.
@@ -49,7 +39,7 @@
     at: Time,
 }
 
-/// What one proxy's process knows of the changes.
+/// What the present process of a proxy knows of the changes.
 struct ProxyKnowledge {
     /// When the process started.
     started_at: Time,
@@ -81,20 +71,25 @@
     }
 }
 
-/// How long changes took to reach proxies, over all pairs of proxy and change.
-#[derive(Clone, Copy, Debug, Default)]
+/// How long changes took to reach proxies, over all pairs of a proxy and a change.
+///
+/// The delay of a pair begins when discovery has the change and can be reached by the process of
+/// the proxy. It ends when the proxy is notified.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PropagationFigures {
-    /// From "could be reached" to "notified", ms: median.
+    /// The median delay, ms.
     pub delay_p50_ms: f64,
-    /// The same, 99 in 100.
+    /// The 99th percentile of the delay, ms.
     pub delay_p99_ms: f64,
-    /// The longest, those without a notification by the end included, ms.
+    /// The longest delay, ms. A pair without a notification counts with its delay until the end.
     pub delay_max_ms: f64,
-    /// Pairs that took longer than [`NOTIFICATION_DEADLINE`].
+    /// Pairs whose delay is over [`NOTIFICATION_DEADLINE`], also without a notification.
+    #[serde(rename = "over_6s")]
     pub after_deadline: u64,
     /// Pairs without a notification by the end.
+    #[serde(rename = "untold")]
     pub not_notified: u64,
-    /// All pairs.
+    /// All pairs, those without a notification included.
     pub pairs: u64,
 }
 
@@ -103,29 +98,27 @@
     outage: Option<Outage>,
     changes: Vec<BackendChange>,
     proxies: Vec<ProxyKnowledge>,
+    /// The delays of pairs with a notification, us.
     delays: Histogram<u64>,
-    /// Pairs of proxy and change with a notification.
+    /// Pairs of a proxy and a change with a notification.
     notified_pairs: u64,
+    /// Those of them whose delay is over [`NOTIFICATION_DEADLINE`].
     notified_after_deadline: u64,
-    /// For each backend that takes no new requests: the first change since it was last ready.
+    /// For each backend that takes no new requests: the number of the first change since it was
+    /// last ready.
     unavailable_since: BTreeMap<u32, usize>,
 }
 
 impl ChangeLog {
     /// A log without changes; all proxies started at that time.
-    ///
-    /// # Panics
-    ///
-    /// Never: the bounds of its histogram are constants that are valid.
     pub fn new(proxies: u32, outage: Option<Outage>, start: Time) -> ChangeLog {
-        let delays = Histogram::new_with_bounds(1, MAX_RECORDED_DELAY_MICROS, 3);
         ChangeLog {
             outage,
             changes: Vec::new(),
             proxies: (0..proxies)
                 .map(|_| ProxyKnowledge::new(start, 0))
                 .collect(),
-            delays: delays.expect("sound bounds"),
+            delays: new_histogram_up_to(MAX_RECORDED_DELAY_MICROS),
             notified_pairs: 0,
             notified_after_deadline: 0,
             unavailable_since: BTreeMap::new(),
@@ -157,16 +150,13 @@
 
     /// The newest state of each backend that changed after the first `known_changes` changes.
     pub fn endpoints_since(&self, known_changes: usize) -> Vec<Endpoint> {
-        let newest: BTreeMap<u32, &BackendChange> = self.changes[known_changes..]
-            .iter()
-            .map(|change| (change.backend, change))
-            .collect();
-        newest
-            .values()
-            .map(|change| {
-                world::balancer_endpoint(change.backend as usize, change.state, change.started_at)
-            })
-            .collect()
+        let mut newest: BTreeMap<u32, Endpoint> = BTreeMap::new();
+        for change in &self.changes[known_changes..] {
+            let number = change.backend as usize;
+            let endpoint = world::balancer_endpoint(number, change.state, change.started_at);
+            newest.insert(change.backend, endpoint);
+        }
+        newest.into_values().collect()
     }
 
     /// Records that a proxy has now been notified of all changes.
@@ -189,12 +179,12 @@
         }
     }
 
-    /// Records a new process of a proxy, with the list as it was after that many changes.
+    /// Records a new process of a proxy. Its list is that after the first `known_changes` changes.
     pub fn record_restart(&mut self, proxy: u32, now: Time, known_changes: usize) {
         self.proxies[proxy as usize] = ProxyKnowledge::new(now, known_changes);
     }
 
-    /// When discovery had a change and could be reached by that process.
+    /// When discovery had a change and that process could reach it.
     fn reachable_at(&self, change: usize, knowledge: &ProxyKnowledge) -> Time {
         let made_at = self.changes[change].at;
         let available_at = match self.outage {
@@ -204,7 +194,7 @@
         available_at.max(knowledge.started_at)
     }
 
-    /// Judges an attempt that a proxy sends now to a backend.
+    /// Whether an attempt that a proxy sends to a backend now is too late.
     pub fn lateness(&self, now: Time, proxy: u32, backend: u32) -> Lateness {
         let Some(change) = self.unavailable_since.get(&backend).copied() else {
             return Lateness::InTime;
@@ -226,32 +216,41 @@
         self.changes.iter().map(|change| change.backend)
     }
 
-    /// The delays until the end of the run.
+    /// The figures at the end of the run.
     pub fn figures(&self, end: Time) -> PropagationFigures {
-        let longest_notified = if self.delays.is_empty() {
-            0
-        } else {
-            self.delays.max()
-        };
-        let mut longest = Micros(longest_notified);
-        let mut not_notified = 0;
-        let mut after_deadline = self.notified_after_deadline;
-        for knowledge in &self.proxies {
-            for change in knowledge.known_changes..self.changes.len() {
-                let delay = end - self.reachable_at(change, knowledge);
-                longest = longest.max(delay);
-                not_notified += 1;
-                after_deadline += u64::from(delay > NOTIFICATION_DEADLINE);
-            }
-        }
-        let millis = |micros: u64| micros as f64 / 1000.0;
+        let pending = self.pending_delays(end);
+        let is_late = |delay: &&Micros| **delay > NOTIFICATION_DEADLINE;
+        let pending_after_deadline = pending.iter().filter(is_late).count() as u64;
+        let longest_pending = pending.iter().copied().max().unwrap_or(Micros(0));
+        let longest = longest_pending.max(self.longest_notified_delay());
+        let not_notified = pending.len() as u64;
         PropagationFigures {
-            delay_p50_ms: millis(self.delays.value_at_quantile(0.5)),
-            delay_p99_ms: millis(self.delays.value_at_quantile(0.99)),
+            delay_p50_ms: quantile_ms(&self.delays, 0.5),
+            delay_p99_ms: quantile_ms(&self.delays, 0.99),
             delay_max_ms: millis(longest.0),
-            after_deadline,
+            after_deadline: self.notified_after_deadline + pending_after_deadline,
             not_notified,
             pairs: self.notified_pairs + not_notified,
         }
     }
+
+    /// The longest delay of a pair with a notification, 0 if there is none.
+    fn longest_notified_delay(&self) -> Micros {
+        // The maximum of an empty histogram is undefined.
+        if self.delays.is_empty() {
+            return Micros(0);
+        }
+        Micros(self.delays.max())
+    }
+
+    /// The delays until `end` of all pairs without a notification.
+    fn pending_delays(&self, end: Time) -> Vec<Micros> {
+        let mut delays = Vec::new();
+        for knowledge in &self.proxies {
+            for change in knowledge.known_changes..self.changes.len() {
+                delays.push(end - self.reachable_at(change, knowledge));
+            }
+        }
+        delays
+    }
 }
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -1,13 +1,15 @@
 //! The report of the real proxy's cells: failed checks, disturbed cells and tables.
 
-use brookstack_fleet_simulator::real::cell::Cell;
+use brookstack_fleet_simulator::real::cell::{
+    Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryFigures, RequestFigures, StallFigures,
+};
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
-use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, Table};
+use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, real_table, Table};
 use brookstack_fleet_simulator::world::DiscoveryMode;
 
 /// A cell that passes all checks.
-fn sound_cell() -> Cell {
+fn passing_cell() -> Cell {
     let stall = Stall {
         median_ms: 1.0,
         longest_ms: 2.0,
@@ -19,56 +21,82 @@
         list_is_known: false,
         requests_per_second: 70.0,
         ready_secs: 0.1,
+        memory: passing_memory(),
+        cpu: passing_cpu(),
+        discovery: DiscoveryFigures {
+            list_bytes: 26_080,
+            idle_bytes_per_s: 30.0,
+            change_bytes: 250.0,
+            discovery_calls: 40,
+        },
+        requests: passing_requests(),
+        latency: passing_latency(),
+        stalls: StallFigures {
+            without_event: stall,
+            change: stall,
+            snapshot: stall,
+            probes: [2_000; 3],
+        },
+    }
+}
+
+fn passing_memory() -> MemoryFigures {
+    MemoryFigures {
         rss_start_mb: 4.0,
         hwm_start_mb: 4.0,
         rss_load_mb: 8.0,
         hwm_load_mb: 8.0,
         hwm_end_mb: 9.0,
+    }
+}
+
+fn passing_cpu() -> CpuFigures {
+    CpuFigures {
         cpu_idle_percent: 0.1,
         idle_secs: 20.0,
         cpu_load_percent: 2.0,
         load_secs: 120.0,
         cpu_wait_percent: [0.0, 0.4, 0.9],
-        list_bytes: 26_080,
-        idle_bytes_per_s: 30.0,
-        change_bytes: 250.0,
-        discovery_calls: 40,
-        forwarded_requests: 8_400,
+    }
+}
+
+fn passing_requests() -> RequestFigures {
+    RequestFigures {
+        forwarded: 8_400,
         not_served: NotServed {
             rejected: 3,
             failed: 2,
             no_response: 0,
         },
         new_connections_per_request: [0.1, 0.0],
+    }
+}
+
+fn passing_latency() -> LatencyFigures {
+    LatencyFigures {
         added_p50_ms: 1.0,
         added_p99_ms: 6.0,
         added_max_ms: 9.0,
         before_backend_ms: [0.8, 5.5],
         after_backend_ms: [0.2, 0.5],
-        stall_without_event: stall,
-        stall_change: stall,
-        stall_snapshot: stall,
-        probes: [2_000; 3],
     }
 }
 
 #[test]
 fn a_cell_fails_when_it_is_ready_late_or_requests_get_no_response() {
-    assert_eq!(failed_cells(&[sound_cell()]), Vec::<String>::new());
+    assert_eq!(failed_cells(&[passing_cell()]), Vec::<String>::new());
     let late = Cell {
         ready_secs: 10.5,
-        ..sound_cell()
+        ..passing_cell()
     };
     assert_eq!(
-        failed_cells(&[sound_cell(), late]),
+        failed_cells(&[passing_cell(), late]),
         ["200 backends x 7 tenants: ready after 10.50 s"]
     );
-    let without_response = Cell {
-        not_served: NotServed {
-            no_response: 1,
-            ..NotServed::default()
-        },
-        ..sound_cell()
+    let mut without_response = passing_cell();
+    without_response.requests.not_served = NotServed {
+        no_response: 1,
+        ..NotServed::default()
     };
     assert_eq!(
         failed_cells(&[without_response]),
@@ -78,13 +106,11 @@
 
 #[test]
 fn a_cell_measured_on_a_busy_machine_is_named() {
-    assert_eq!(disturbed_cells(&[sound_cell()]), Vec::<String>::new());
-    let busy = Cell {
-        cpu_wait_percent: [0.0, 2.5, 0.0],
-        ..sound_cell()
-    };
+    assert_eq!(disturbed_cells(&[passing_cell()]), Vec::<String>::new());
+    let mut busy = passing_cell();
+    busy.cpu.cpu_wait_percent = [0.0, 2.5, 0.0];
     let line = "200 backends x 7 tenants: without a core for 0.00 / 2.50 / 0.00 % of the time";
-    assert_eq!(disturbed_cells(&[sound_cell(), busy]), [line]);
+    assert_eq!(disturbed_cells(&[passing_cell(), busy]), [line]);
 }
 
 #[test]
@@ -93,3 +119,70 @@
     table.row(vec!["1".into(), "2".into()]);
     assert_eq!(table.to_string(), "| a | b |\n| --- | --- |\n| 1 | 2 |\n");
 }
+
+/// The texts between the bars of one line of a table.
+fn texts(line: &str) -> Vec<&str> {
+    line.trim_matches(['|', ' ']).split(" | ").collect()
+}
+
+#[test]
+fn the_table_of_cells_shows_each_figure_under_its_title() {
+    let table = real_table(&[passing_cell()]).to_string();
+    let lines: Vec<&str> = table.lines().collect();
+    assert_eq!(lines.len(), 3);
+    let columns: Vec<_> = texts(lines[0]).into_iter().zip(texts(lines[2])).collect();
+    let expected = [
+        ("backends", "200"),
+        ("tenants", "7"),
+        ("ready, s", "0.10"),
+        ("resident at start (highest), MB", "4.0 (4.0)"),
+        (
+            "after load (highest; with further whole lists), MB",
+            "8.0 (8.0; 9.0)",
+        ),
+        ("CPU idle, % of a core", "0.10"),
+        ("CPU under load, % of a core", "2.00"),
+        ("list, bytes", "26080"),
+        ("one change, bytes", "250"),
+        ("idle, bytes/s", "30"),
+        ("new connections a request (1st, 2nd half)", "0.10, 0.00"),
+        ("added p50 / p99 / longest, ms", "1.00 / 6.00 / 9.0"),
+        (
+            "of it before the backend had it, and after its answer: p50 / p99, ms",
+            "0.80 / 5.50, 0.20 / 0.50",
+        ),
+        (
+            "stall of the data path: none / change / whole list, ms, median of 5 (longest)",
+            "1.0 (2.0) / 1.0 (2.0) / 1.0 (2.0)",
+        ),
+        (
+            "requests sent on; refused / failed / broken",
+            "8400; 3 / 2 / 0",
+        ),
+        (
+            "without a core idle / load / probes, % of the time",
+            "0.00 / 0.40 / 0.90",
+        ),
+    ];
+    assert_eq!(columns, expected);
+}
+
+#[test]
+fn the_json_of_a_cell_keeps_its_keys_and_their_order() {
+    let json = serde_json::to_string(&passing_cell()).expect("JSON");
+    let expected = concat!(
+        r#"{"backends":200,"tenants":7,"mode":"automatic","known":false,"per_s":70.0,"#,
+        r#""ready_secs":0.1,"rss_start_mb":4.0,"hwm_start_mb":4.0,"rss_load_mb":8.0,"#,
+        r#""hwm_load_mb":8.0,"hwm_end_mb":9.0,"cpu_idle_percent":0.1,"idle_secs":20.0,"#,
+        r#""cpu_load_percent":2.0,"load_secs":120.0,"waited_percent":[0.0,0.4,0.9],"#,
+        r#""list_bytes":26080,"idle_bytes_per_s":30.0,"change_bytes":250.0,"#,
+        r#""discovery_calls":40,"requests":8400,"#,
+        r#""not_served":{"refused":3,"failed":2,"broken":0},"new_connections":[0.1,0.0],"#,
+        r#""added_p50_ms":1.0,"added_p99_ms":6.0,"added_max_ms":9.0,"#,
+        r#""before_ms":[0.8,5.5],"after_ms":[0.2,0.5],"#,
+        r#""stall_plain":{"median_ms":1.0,"longest_ms":2.0},"#,
+        r#""stall_change":{"median_ms":1.0,"longest_ms":2.0},"#,
+        r#""stall_whole":{"median_ms":1.0,"longest_ms":2.0},"probes":[2000,2000,2000]}"#,
+    );
+    assert_eq!(json, expected);
+}
