--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -13,14 +13,14 @@
 /// What was measured in a cell. In JSON all figures stand side by side.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cell {
-    /// Backends in the list.
+    /// Backends in the endpoint list.
     pub backends: usize,
     /// Tenants in the settings.
     pub tenants: usize,
-    /// How the proxy learnt the list.
+    /// How the proxy learns the endpoint list.
     #[serde(rename = "mode")]
     pub discovery_mode: DiscoveryMode,
-    /// The configuration held the list.
+    /// Whether the configuration holds the endpoint list at the start.
     #[serde(rename = "known")]
     pub list_is_known: bool,
     /// The rate of the load, requests a second.
@@ -34,7 +34,7 @@
     /// The proxy's processor time.
     #[serde(flatten)]
     pub cpu: CpuFigures,
-    /// The proxy's calls on discovery.
+    /// What the proxy received from discovery.
     #[serde(flatten)]
     pub discovery: DiscoveryFigures,
     /// The requests of the load.
@@ -125,7 +125,7 @@
     pub after_backend_ms: [f64; 2],
 }
 
-/// The longest round trips of probes under the load, by what happened meanwhile.
+/// The longest round trips of probes under the load, by what happened during them.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct StallFigures {
     /// Nothing happened.
--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Runs the load for that span and returns what was observed meanwhile.
+    /// Runs the load for that span and returns the observations since the last run.
     pub async fn run(&mut self, span: Duration) -> Observations {
         let end = Instant::now() + span;
         self.next_arrival = self.next_arrival.max(Instant::now());
--- a/crates/fleet-simulator/src/real/measurements.rs
+++ b/crates/fleet-simulator/src/real/measurements.rs
@@ -18,6 +18,7 @@
 
 /// What was measured, phase by phase.
 pub(super) struct Measurements {
+    /// From the start of the process until the proxy was ready.
     pub(super) ready_after: Duration,
     pub(super) idle: IdlePhase,
     pub(super) load: LoadPhase,
@@ -54,7 +55,7 @@
     let load_phase = phases::run_load(&mut load, backends, setup.load_duration).await?;
     let loaded = process.usage()?;
 
-    // The load goes on under the probes: it is the data path that may stall.
+    // Probes measure stalls of the data path under load, so the load goes on while they run.
     let load_span = PROBE_SPAN * EVENT_SORTS + LOAD_AFTER_PROBES;
     let probes = phases::run_probes(&process, backends, discovery);
     let (probe_phase, _) = tokio::join!(probes, load.run(load_span));
--- a/crates/fleet-simulator/src/real/phases.rs
+++ b/crates/fleet-simulator/src/real/phases.rs
@@ -21,7 +21,7 @@
     pub(super) settled_bytes: u64,
     /// The proxy's resources at the end of the phase.
     pub(super) end: Usage,
-    /// Bytes that discovery had written at the end.
+    /// Bytes that discovery had written at the end of the phase.
     pub(super) end_bytes: u64,
 }
 
--- a/crates/fleet-simulator/src/real/setup.rs
+++ b/crates/fleet-simulator/src/real/setup.rs
@@ -1,4 +1,4 @@
-//! What a cell is run with.
+//! The setup of a cell.
 
 use crate::world::DiscoveryMode;
 use std::path::PathBuf;
@@ -13,18 +13,18 @@
     pub backends: usize,
     /// Tenants in the settings.
     pub tenants: usize,
-    /// How the proxy learns the list.
+    /// How the proxy learns the endpoint list.
     pub discovery_mode: DiscoveryMode,
     /// Whether the configuration holds the endpoint list, as after a restart. Otherwise the proxy
     /// has to get it from discovery.
     pub list_is_known: bool,
     /// Which of the 1,100 proxies of the target deployment it is.
     pub proxy_index: u32,
-    /// Listeners that stand for the backends.
+    /// Listeners that the backends share.
     pub listeners: usize,
     /// Requests a second.
     pub requests_per_second: f64,
-    /// A backend's time for a request.
+    /// The time that a backend takes for a request.
     pub service_time: Duration,
     /// How long the proxy idles.
     pub idle_duration: Duration,
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -13,7 +13,7 @@
 /// and stalls.
 const BUSY_PERCENT: f64 = 1.0;
 
-/// The checks on cells that failed, one a line. Rejected and slow requests fail no check, as the
+/// The checks on cells that failed, one per line. Rejected and slow requests fail no check, as the
 /// machine may have caused them.
 pub fn failed_cells(cells: &[Cell]) -> Vec<String> {
     cells.iter().flat_map(failed_cell_checks).collect()
@@ -36,7 +36,7 @@
     format!("{} backends x {} tenants", cell.backends, cell.tenants)
 }
 
-/// The cells whose times a busy machine has disturbed, one a line.
+/// The cells whose times a busy machine has disturbed, one per line.
 pub fn disturbed_cells(cells: &[Cell]) -> Vec<String> {
     let disturbed = cells.iter().filter(|cell| is_disturbed(cell));
     disturbed.map(disturbed_cell).collect()
@@ -53,7 +53,7 @@
     format!("{name}: without a core for {waits} % of the time")
 }
 
-/// The checks on fleets that failed, one a line.
+/// The checks on fleets that failed, one per line.
 pub fn failed_fleets(runs: &[FleetRun]) -> Vec<String> {
     runs.iter()
         .flat_map(|run| failed_fleet_checks(&run.figures))
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -1,4 +1,4 @@
-//! The table of the command `fleet`: one row a run.
+//! The table of the command `fleet`: one row per run.
 
 use super::scenario_name;
 use super::table::{Column, Table};
@@ -120,7 +120,7 @@
     )
 }
 
-/// The largest load over the mean, of the machine type for which it is largest.
+/// The largest load over the mean, for the machine type where this ratio is largest.
 fn largest_load(load: &Load) -> String {
     let least_even = load
         .machine_types
--- a/crates/fleet-simulator/src/report/real_table.rs
+++ b/crates/fleet-simulator/src/report/real_table.rs
@@ -1,4 +1,4 @@
-//! The table of the command `real`: one row a cell of the matrix.
+//! The table of the command `real`: one row per cell of the matrix.
 
 use super::table::{Column, Table};
 use crate::real::cell::Cell;
@@ -123,7 +123,8 @@
     )
 }
 
-/// The time without a core, % of the time: when idle, under the load and under the probes.
+/// The time in which the proxy was runnable and had no core, % of the time: when idle, under the
+/// load and under the probes.
 pub(super) fn cpu_wait(cell: &Cell) -> String {
     let percents = cell
         .cpu
--- a/crates/fleet-simulator/src/report/table.rs
+++ b/crates/fleet-simulator/src/report/table.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{Display, Formatter, Result};
 
-/// A column of a table that shows one record a row.
+/// A column of a table that shows one record per row.
 pub struct Column<Record> {
     /// Its title.
     pub title: &'static str,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A table of these columns with one row a record.
+    /// A table of these columns with one row per record.
     pub fn of<Record>(columns: &[Column<Record>], records: &[Record]) -> Table {
         let titles: Vec<&str> = columns.iter().map(|column| column.title).collect();
         let mut table = Table::new(&titles);
--- a/crates/fleet-simulator/src/simulated/proxy/open_requests.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/open_requests.rs
@@ -25,7 +25,7 @@
 }
 
 impl OpenRequest {
-    /// Numbers a further attempt.
+    /// Counts a further attempt. Returns its number.
     pub fn next_attempt(&mut self) -> AttemptNumber {
         let number = AttemptNumber(self.attempts_so_far);
         self.attempts_so_far += 1;
@@ -48,7 +48,7 @@
 pub struct Deadline {
     /// When it is due.
     pub at: Time,
-    /// For which request.
+    /// The request that it concerns.
     pub request: RequestId,
 }
 
--- a/crates/fleet-simulator/src/simulated/setup.rs
+++ b/crates/fleet-simulator/src/simulated/setup.rs
@@ -60,7 +60,8 @@
     /// The number of backends in the rack that fails.
     #[serde(rename = "rack")]
     pub rack_size: usize,
-    /// A connection that has been idle for this long is closed, s.
+    /// The setting `limits.conn_idle_us` of the proxies, here in seconds: the time after which an
+    /// idle connection is closed.
     #[serde(rename = "conn_idle_secs")]
     pub connection_idle_secs: f64,
     /// What the balancer's objective loses if every request crosses zones once.
