--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -13,7 +13,7 @@
 /// and stalls.
 const BUSY_PERCENT: f64 = 1.0;
 
-/// The checks on cells that failed, one a line. Rejected and slow requests fail no check, as the
+/// The checks on cells that failed, one per line. Rejected and slow requests fail no check, as the
 /// machine may have caused them.
 pub fn failed_cells(cells: &[Cell]) -> Vec<String> {
     cells.iter().flat_map(failed_cell_checks).collect()
@@ -27,7 +27,7 @@
     }
     let unanswered = cell.requests.not_served.no_response;
     if unanswered > 0 {
-        failed.push(format!("{name}: {unanswered} requests without an answer"));
+        failed.push(format!("{name}: {unanswered} requests without a response"));
     }
     failed
 }
@@ -36,7 +36,7 @@
     format!("{} backends x {} tenants", cell.backends, cell.tenants)
 }
 
-/// The cells whose times a busy machine has disturbed, one a line.
+/// The cells whose times a busy machine has disturbed, one per line.
 pub fn disturbed_cells(cells: &[Cell]) -> Vec<String> {
     let disturbed = cells.iter().filter(|cell| is_disturbed(cell));
     disturbed.map(disturbed_cell).collect()
@@ -50,10 +50,10 @@
 fn disturbed_cell(cell: &Cell) -> String {
     let name = cell_name(cell);
     let waits = cpu_wait(cell);
-    format!("{name}: without a core for {waits} % of the time")
+    format!("{name}: CPU wait of {waits} % of the time")
 }
 
-/// The checks on fleets that failed, one a line.
+/// The checks on fleets that failed, one per line.
 pub fn failed_fleets(runs: &[FleetRun]) -> Vec<String> {
     runs.iter()
         .flat_map(|run| failed_fleet_checks(&run.figures))
