--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -13,9 +13,18 @@
 
 use crate::{Class, Config, DiscoveryMode, Idempotency, KeyScope, Micros, Tenant, ZoneId};
 
-/// Reads the settings into a configuration and the names of its classes and tenants. The error is
-/// that of the first setting that is missing or not of the expected form.
-pub fn read(root: &Key) -> Result<(Config, Names), InvalidValue> {
+/// What the settings of a deployment say.
+#[derive(Debug)]
+pub struct Settings {
+    /// The balancer's configuration.
+    pub config: Config,
+    /// The names of its classes and tenants.
+    pub names: Names,
+}
+
+/// Reads the settings. The error is that of the first setting that is missing or not of the expected
+/// form.
+pub fn read(root: &Key) -> Result<Settings, InvalidValue> {
     let zones = read_zones(root)?;
     let mut names = Names::default();
     let classes = read_classes(&root.get("profiles"), &mut names)?;
@@ -46,7 +55,7 @@
         overload_multiple: slow_start.get("fall_multiple").real()?,
         overload_window: slow_start.get("tip_after_us").micros()?,
     };
-    Ok((config, names))
+    Ok(Settings { config, names })
 }
 
 /// Whether the weights of the endpoint list are load reports; not if the setting is missing.
--- a/crates/balancer/src/settings/tests.rs
+++ b/crates/balancer/src/settings/tests.rs
@@ -55,7 +55,7 @@
 fn config_of(settings: &Value) -> Config {
     read(&Key::root(settings))
         .expect("the settings are valid")
-        .0
+        .config
 }
 
 /// The classes that [`settings`] give.
@@ -126,14 +126,17 @@
 #[test]
 fn names_lead_to_the_ids_of_classes_and_tenants() {
     let settings = settings();
-    let (_, names) = read(&Key::root(&settings)).unwrap();
+    let Settings { names, .. } = read(&Key::root(&settings)).unwrap();
     assert_eq!(names.class("pay"), Some(ClassId(1)));
     assert_eq!(names.class("large"), None);
     assert_eq!(names.tenant("large"), Some(TenantId(1)));
     assert_eq!(names.tenant("pay"), None);
     assert!(names.has_tenants());
     let without_tenants = with("/customers", json!([]));
-    assert!(!read(&Key::root(&without_tenants)).unwrap().1.has_tenants());
+    assert!(!read(&Key::root(&without_tenants))
+        .unwrap()
+        .names
+        .has_tenants());
 }
 
 #[test]
--- a/crates/fleet-simulator/src/world/deployment.rs
+++ b/crates/fleet-simulator/src/world/deployment.rs
@@ -83,8 +83,8 @@
     /// The configuration that the balancer reads from these settings.
     pub fn config(&self) -> Result<Config, InputError> {
         let settings = self.settings();
-        let (config, _names) = settings::read(&Key::root(&settings))?;
-        Ok(config)
+        let read = settings::read(&Key::root(&settings))?;
+        Ok(read.config)
     }
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -6,7 +6,7 @@
 pub use error::ConfigFileError;
 
 use crate::discovery::endpoint_list::EndpointList;
-use brookstack_balancer::settings::{self, Key, Names};
+use brookstack_balancer::settings::{self, Key, Names, Settings};
 use brookstack_balancer::Micros;
 use document::ConfigDocument;
 use serde_json::Value;
@@ -89,7 +89,10 @@
     let settings = root.get("settings");
     let request_limits = settings.get("limits");
     let max_descriptors = max_descriptors(&process_limits)?;
-    let (balancer, names) = settings::read(&settings)?;
+    let Settings {
+        config: balancer,
+        names,
+    } = settings::read(&settings)?;
     balancer.validate()?;
     let memory_limit_bytes = memory_limit_bytes(&process_limits)?;
     Ok(Config {
--- a/crates/simulator-adapter/src/event/tests.rs
+++ b/crates/simulator-adapter/src/event/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::message::{EncodedMessage, Message};
-use brookstack_balancer::settings::{self, Key};
+use brookstack_balancer::settings::{self, Key, Settings};
 use serde_json::json;
 
 const SETTINGS: &str = include_str!("../../tests/settings.json");
@@ -12,7 +12,7 @@
 
 fn names() -> Names {
     let settings: Value = serde_json::from_str(SETTINGS).unwrap();
-    let (_config, names) = settings::read(&Key::root(&settings)).unwrap();
+    let Settings { names, .. } = settings::read(&Key::root(&settings)).unwrap();
     names
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -8,7 +8,7 @@
     decode_clock, EncodedEvent, EncodedMessage, InstanceReference, Message, MessageKind,
 };
 use crate::PROGRAM_NAME;
-use brookstack_balancer::settings::{self, Key, Names};
+use brookstack_balancer::settings::{self, Key, Names, Settings};
 use brookstack_balancer::{Action, Balancer, Time};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 impl Instance {
     /// Creates an instance from its settings and the seed of its random generator.
     fn new(settings: &Value, seed: u64) -> Result<Instance, InvalidSettings> {
-        let (config, names) = settings::read(&Key::root(settings))?;
+        let Settings { config, names } = settings::read(&Key::root(settings))?;
         let balancer = Balancer::new(config, seed)?;
         Ok(Instance { balancer, names })
     }
