--- a/crates/balancer/src/discovery_watch.rs
+++ b/crates/balancer/src/discovery_watch.rs
@@ -67,8 +67,7 @@
 /// arguments. It does nothing where discovery pushes the changes.
 #[derive(Default)]
 pub(crate) struct DiscoveryWatch {
-    /// When to poll next; `None` if changes arrive without another poll. To be read through
-    /// [`DiscoveryWatch::next_poll_at`].
+    /// When to poll next; `None` if changes arrive without another poll.
     next_poll_at: Option<Time>,
     backoff: PollBackoff,
     state: WatchState,
--- a/crates/balancer/src/random.rs
+++ b/crates/balancer/src/random.rs
@@ -9,7 +9,9 @@
 /// An item with the weight by which it is drawn.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Weighted<T> {
+    /// The item.
     pub item: T,
+    /// Its weight, 0 or more.
     pub weight: f64,
 }
 
--- a/crates/balancer/src/routing/slow_start_quotas.rs
+++ b/crates/balancer/src/routing/slow_start_quotas.rs
@@ -39,7 +39,9 @@
 
 /// Inputs of the slow-start quotas that are the same for all backends.
 pub(crate) struct SlowStartPlan<'a> {
+    /// The time of the computation.
     pub now: Time,
+    /// The balancer's configuration.
     pub config: &'a Config,
     /// The proxies that share each backend.
     pub peers: Peers,
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -96,6 +96,7 @@
 
 /// Inputs of the allocations that are the same for all backends.
 pub(crate) struct SharePlan<'a> {
+    /// The time of the computation.
     pub now: Time,
     /// The proxies that share each backend.
     pub peers: Peers,
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -27,13 +27,16 @@
 pub(crate) struct SubsetUpdate {
     /// How `endpoints` relate to the endpoints used so far.
     pub update: EndpointUpdate,
+    /// The entries of the update.
     pub endpoints: Vec<Endpoint>,
 }
 
 /// This proxy's place among the proxies that use the same backends.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Replica {
+    /// This proxy's number among them, from 0.
     pub index: u64,
+    /// How many there are.
     pub count: u64,
 }
 
@@ -50,6 +53,7 @@
 }
 
 impl Subset {
+    /// An empty list, which is not divided.
     pub fn new() -> Subset {
         Subset {
             subset_count: SubsetCount::new(),
