--- /dev/null
+++ b/crates/balancer/tests/invariants/config.rs
@@ -0,0 +1,70 @@
+//! Variants of the configuration.
+
+use crate::common::builders::*;
+use brookstack_balancer::*;
+
+/// Switches hedging off and makes the group of proxies a large one.
+const LARGE_GROUP_WITHOUT_HEDGING: u32 = 1;
+/// Makes the weights in the endpoint list constant.
+const CONSTANT_WEIGHTS: u32 = 2;
+/// Forbids the cancellation of attempts.
+const NO_CANCELLATION: u32 = 4;
+/// Makes discovery push its updates.
+const PUSHED_UPDATES: u32 = 8;
+/// Makes the crossing of zones free.
+const FREE_CROSSING_OF_ZONES: u32 = 16;
+/// From this bit on a variant gives the number of zones.
+const ZONE_COUNT_SHIFT: u32 = 5;
+
+/// A configuration with classes of every idempotency; each bit of `variant` switches a feature.
+pub fn config_variant(variant: u32) -> Config {
+    let has = |feature: u32| variant & feature != 0;
+    let mut config = Config::example();
+    config.classes = classes();
+    config.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 5.0 }];
+    config.worst_class_goal_weight = 0.3;
+    config.hedging_allowed = !has(LARGE_GROUP_WITHOUT_HEDGING);
+    config.proxy_count = if has(LARGE_GROUP_WITHOUT_HEDGING) {
+        400
+    } else {
+        3
+    };
+    config.live_weights = !has(CONSTANT_WEIGHTS);
+    config.cancellation_allowed = !has(NO_CANCELLATION);
+    if !has(PUSHED_UPDATES) {
+        config.discovery = DiscoveryMode::Watch {
+            poll_within: seconds(2),
+        };
+    }
+    config.cross_zone_cost = if has(FREE_CROSSING_OF_ZONES) {
+        0.0
+    } else {
+        0.05
+    };
+    config.zone_count = 1 + (variant >> ZONE_COUNT_SHIFT) % 3;
+    config
+}
+
+fn classes() -> Vec<Class> {
+    let with_key = |scope: KeyScope| {
+        class(Idempotency::IdempotencyKey {
+            scope,
+            window: millis(300),
+        })
+    };
+    vec![
+        class(Idempotency::Idempotent),
+        Class {
+            late_weight: 0.3,
+            priority_weight: 5.0,
+            ..class(Idempotency::NonIdempotent)
+        },
+        with_key(KeyScope::Zone),
+        with_key(KeyScope::Cell),
+        with_key(KeyScope::All),
+        Class {
+            latency_objective: millis(100),
+            ..class(Idempotency::Idempotent)
+        },
+    ]
+}
--- /dev/null
+++ b/crates/balancer/tests/invariants/main.rs
@@ -0,0 +1,69 @@
+//! The balancer's guarantees as invariants over generated sequences of events; `TestHost` checks
+//! each action.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod config;
+mod scenario;
+mod step;
+
+use brookstack_balancer::*;
+use common::builders::*;
+use common::test_host::TestHost;
+use common::traffic::serve_sequentially;
+use proptest::prelude::*;
+use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
+use scenario::play;
+use step::steps;
+
+fn runner(cases: u32) -> TestRunner {
+    let config = ProptestConfig {
+        cases,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    };
+    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
+}
+
+#[test]
+fn guarantees_hold_over_generated_events() {
+    let scenarios = (
+        0..32u32,
+        any::<u64>(),
+        proptest::collection::vec(steps(), 1..250),
+    );
+    let result = runner(300).run(&scenarios, |(variant, seed, steps)| {
+        play(variant, seed, &steps);
+        Ok(())
+    });
+    result.unwrap();
+}
+
+#[test]
+fn the_same_events_cause_the_same_actions() {
+    let scenarios = (
+        0..32u32,
+        any::<u64>(),
+        proptest::collection::vec(steps(), 1..120),
+    );
+    let result = runner(40).run(&scenarios, |(variant, seed, steps)| {
+        prop_assert_eq!(play(variant, seed, &steps), play(variant, seed, &steps));
+        Ok(())
+    });
+    result.unwrap();
+}
+
+/// The backends of 50 requests, after events that name unknown ids if `with_unknown_ids` is set.
+fn backends_chosen(with_unknown_ids: bool) -> Vec<u32> {
+    let mut host =
+        TestHost::with_endpoints(config_with_class(Idempotency::Idempotent), backends(3));
+    if with_unknown_ids {
+        host.send_events_about(RequestId(77), AttemptNumber(3), TimerToken(u64::MAX));
+    }
+    serve_sequentially(&mut host, 50, |_| millis(10))
+}
+
+#[test]
+fn events_with_unknown_ids_are_ignored() {
+    assert_eq!(backends_chosen(false), backends_chosen(true));
+}
