--- a/crates/balancer/tests/common/builders.rs
+++ b/crates/balancer/tests/common/builders.rs
@@ -16,32 +16,32 @@
 pub const POLL_WITHIN: Micros = seconds(10);
 
 /// A ready backend with the example weight; its cell is one of the two of its zone.
-pub fn backend(id: u32, zone: u32, kind: u32) -> Endpoint {
+pub fn backend(id: u32, zone: u32, machine_type: u32) -> Endpoint {
     Endpoint {
         id: BackendId(u64::from(id)),
         zone: ZoneId(u64::from(zone)),
         cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
-        machine_type: MachineTypeId(u64::from(kind)),
+        machine_type: MachineTypeId(u64::from(machine_type)),
         state: BackendState::Ready,
         started_at: None,
         weight: 1.0,
     }
 }
 
-/// So many backends of one kind in zone 0.
+/// So many backends of one machine type in zone 0.
 pub fn backends(count: u32) -> Vec<Endpoint> {
     (0..count).map(|id| backend(id, 0, 0)).collect()
 }
 
-/// So many backends of one kind, dealt to the zones in turn.
+/// So many backends of one machine type, assigned to the zones in turn.
 pub fn backends_across_zones(count: u32, zone_count: u32) -> Vec<Endpoint> {
     (0..count)
         .map(|id| backend(id, id % zone_count, 0))
         .collect()
 }
 
-/// So many backends in zone 0, alternating between the kinds 0 and 1.
-pub fn backends_of_two_kinds(count: u32) -> Vec<Endpoint> {
+/// So many backends in zone 0, alternating between the machine types 0 and 1.
+pub fn backends_of_two_machine_types(count: u32) -> Vec<Endpoint> {
     (0..count).map(|id| backend(id, 0, id % 2)).collect()
 }
 
--- a/crates/balancer/tests/load_distribution.rs
+++ b/crates/balancer/tests/load_distribution.rs
@@ -1,4 +1,4 @@
-//! How traffic is distributed over kinds of backends and over the backends of a kind.
+//! How traffic is distributed over machine types and over the backends of one machine type.
 
 mod common;
 use brookstack_balancer::*;
@@ -7,8 +7,9 @@
 use common::traffic::*;
 
 #[test]
-fn at_light_load_the_faster_kind_takes_nearly_all_traffic() {
-    let mut host = TestHost::with_endpoints(config_with_proxies(1), backends_of_two_kinds(6));
+fn at_light_load_the_faster_machine_type_takes_nearly_all_traffic() {
+    let mut host =
+        TestHost::with_endpoints(config_with_proxies(1), backends_of_two_machine_types(6));
     let is_fast = |backend: u32| backend % 2 == 0;
     let latency = |backend: u32| {
         if is_fast(backend) {
@@ -20,11 +21,11 @@
     serve_sequentially(&mut host, 150, latency);
     let chosen = serve_sequentially(&mut host, 100, latency);
     let fast = count_backends(&chosen, is_fast);
-    assert!(fast >= 95, "{fast} of 100 went to the faster kind");
+    assert!(fast >= 95, "{fast} of 100 went to the faster machine type");
 }
 
 #[test]
-fn within_a_kind_traffic_is_distributed_evenly() {
+fn within_a_machine_type_traffic_is_distributed_evenly() {
     let mut host = TestHost::with_endpoints(config_with_proxies(1), backends(4));
     let chosen = serve_sequentially(&mut host, 800, |_| millis(20));
     for backend in 0..4 {
@@ -57,8 +58,8 @@
 
 #[test]
 fn an_overloaded_backend_receives_less_where_weights_are_live() {
-    // Lisboa rough-1: unresponsive and overloaded backends held tens of requests; only the live
-    // weight in the endpoint list showed it.
+    // Unresponsive and overloaded backends held tens of requests each, and only the live weight in
+    // the endpoint list showed it.
     let with_live_weights = received_at_low_weight(true);
     assert!(
         with_live_weights <= 10,
@@ -69,10 +70,11 @@
 }
 
 #[test]
-fn one_slow_backend_does_not_make_its_kind_look_slow() {
-    // Narocila rough-2: a slow kind with one faulty backend was left idle while requests for the
-    // fast kind were rejected.
-    let mut host = TestHost::with_endpoints(config_with_proxies(40), backends_of_two_kinds(12));
+fn one_slow_backend_does_not_make_its_machine_type_look_slow() {
+    // A slow machine type with one faulty backend was left idle while requests for the fast one
+    // were rejected.
+    let mut host =
+        TestHost::with_endpoints(config_with_proxies(40), backends_of_two_machine_types(12));
     let latency = |backend: u32| {
         if backend == 1 {
             millis(380)
@@ -84,7 +86,7 @@
     let received = count_backends(&chosen[200..], |backend| backend % 2 == 1);
     assert!(
         received >= 270,
-        "{received} of 400 went to the kind with the slow backend"
+        "{received} of 400 went to the machine type with the slow backend"
     );
 }
 
