--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -46,8 +46,7 @@
 
 #[test]
 fn load_is_shed_while_responses_are_late_and_admitted_again_when_they_are_fast() {
-    // Standing rounds: backends that held too many requests for all proxies together stayed
-    // overloaded and slow.
+    // Backends that held too many requests of all proxies together stayed overloaded and slow.
     let mut host = TestHost::with_endpoints(config_with_proxies(300), backends(60));
     assert_eq!(rejected_of_60(&mut host, millis(100)), 0, "fast responses");
     assert!(
@@ -65,7 +64,7 @@
 
 #[test]
 fn a_clients_retry_waits_behind_first_attempts() {
-    // Incident ic9a8f4: retries counted as new requests and, newest first, made all of them late.
+    // Clients' retries counted as new requests and, newest first, made all requests late.
     let mut host = TestHost::with_endpoints(config_with_proxies(1), backends(1));
     let burst = host.send_burst(8, CLIENT_TIMEOUT);
     host.advance(millis(5));
@@ -151,8 +150,8 @@
 
 #[test]
 fn next_to_nothing_is_shed_in_a_calm_start() {
-    // Lisboa quiet: before an unloaded latency was known, responses well inside the latency
-    // objective counted as late.
+    // Before an unloaded latency was known, responses well inside the latency objective counted as
+    // late.
     let mut host = TestHost::with_endpoints(config_with_proxies(300), backends(60));
     let dispatched = serve_sequentially(&mut host, 60, |_| millis(150)).len();
     assert!(dispatched >= 57, "{dispatched} of 60 were dispatched");
@@ -160,8 +159,8 @@
 
 #[test]
 fn a_response_counts_as_late_as_soon_as_its_objective_has_passed() {
-    // Incident ic093af: under overload responses came a second or two late, and the fleet was
-    // overloaded meanwhile.
+    // Under overload responses came a second or two late, and the fleet stayed overloaded
+    // meanwhile.
     let mut host = TestHost::with_endpoints(config_with_proxies(300), backends(600));
     serve_sequentially(&mut host, 60, |_| millis(30));
     let mut rejected = 0;
--- a/crates/balancer/tests/concurrency_limits.rs
+++ b/crates/balancer/tests/concurrency_limits.rs
@@ -10,7 +10,8 @@
 
 #[test]
 fn many_proxies_do_not_each_put_a_request_on_every_backend() {
-    // Incident i61ee64: eleven proxies with a minimum of one each overloaded every backend.
+    // Eleven proxies, each with a minimum of one request in flight per backend, overloaded every
+    // backend.
     let mut host = TestHost::with_endpoints(config_with_proxies(11), backends(22));
     host.send_burst(60, CLIENT_TIMEOUT);
     let in_flight = host.in_flight().len();
@@ -22,9 +23,9 @@
 
 #[test]
 fn with_many_proxies_every_backend_is_usable_and_the_total_is_limited() {
-    // First score at full size: with a limit of 4 per backend shared by hundreds of proxies, most
-    // backends had no capacity left for a given proxy and requests were rejected beside idle
-    // backends. Each proxy's share is 4 * 40 / 320 = 0.5: a few requests may be in flight.
+    // With a limit of 4 per backend divided among hundreds of proxies, most backends had no
+    // capacity left for a given proxy, and requests were rejected beside idle backends. Each
+    // proxy's share is 4 * 40 / 320 = 0.5: a few requests may be in flight.
     let mut host = TestHost::with_endpoints(config_with_proxies(320), backends(40));
     host.send_burst(2, CLIENT_TIMEOUT);
     assert_eq!(
@@ -91,8 +92,9 @@
 
 #[test]
 fn a_proxys_requests_in_flight_stay_near_its_share_on_average() {
-    // Half of the fleet lost: a hundred proxies, each at its allowance for chance, had twelve
-    // requests in flight on every backend that was left, until those were overloaded. Each proxy's
+    // After the loss of half of the fleet a hundred proxies, each with the few requests above its
+    // share that chance allows, had twelve requests in flight on every backend that was left, until
+    // those were overloaded. Each proxy's
     // share is 4 * 60 / 100 = 2.4.
     let mut host = TestHost::one_of_a_hundred_proxies();
     let mut most = 0;
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -167,8 +167,8 @@
 
 #[test]
 fn an_attempt_abandoned_after_its_latency_objective_counts_against_the_backend() {
-    // Accra rough-2: clients disconnected before their deadline, so that overloaded backends showed
-    // only cancellations.
+    // Clients disconnected before their deadline, so that overloaded backends showed only
+    // cancellations.
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::NonIdempotent), backends(6));
     serve_sequentially(&mut host, 60, |_| millis(10));
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -25,7 +25,8 @@
         ..backend(9, 0, 0)
     };
     host.update_endpoints(EndpointUpdate::Delta, vec![warming]);
-    let chosen = serve_sequentially(&mut host, 100, |_| millis(20)); // two seconds, one overload window
+    // Two seconds, which is one overload window.
+    let chosen = serve_sequentially(&mut host, 100, |_| millis(20));
     let received = count_backends(&chosen, |backend| backend == 9);
     // A warm backend serves about 50 + 17 a second: at a tenth of that, twice over, for two
     // seconds, 27 at most.
@@ -70,8 +71,8 @@
 
 #[test]
 fn many_proxies_do_not_overload_an_idle_warming_backend_beside_overloaded_ones() {
-    // Incident ic093af: live weights were low on all warm backends, so that the warming one
-    // received a greater share than they did.
+    // Live weights were low on all warm backends, so that the warming one received a greater share
+    // than they did.
     let config = Config {
         live_weights: true,
         slow_start_duration: seconds(1_000),
@@ -95,6 +96,7 @@
     let received = count_backends(&chosen, |backend| backend == 36);
     assert!(
         received <= 5,
-        "{received} of 300 went to the warming backend, while its share of the capacity is under a hundredth"
+        "{received} of 300 went to the warming backend, while its share of the capacity is under a \
+         hundredth"
     );
 }
--- a/crates/balancer/tests/zone_aware_routing.rs
+++ b/crates/balancer/tests/zone_aware_routing.rs
@@ -128,7 +128,8 @@
         let IdleFleetResult { rejected, received } =
             serve_idle_fleet(proxy_count, zone_count, zones);
         let case = format!(
-            "{proxy_count} proxies, {zone_count} zones configured, backends in {zones:?}: {received:?}"
+            "{proxy_count} proxies, {zone_count} zones configured, backends in {zones:?}: \
+             {received:?}"
         );
         assert_eq!(rejected, 0, "{case}");
         assert!(received.iter().all(|count| *count > 0), "{case}");
@@ -140,7 +141,8 @@
 
 #[test]
 fn more_zones_than_configured_and_the_own_not_among_them_are_served_evenly() {
-    // Measured in a trial: 207 of 218 rejected.
+    // 207 of 218 requests were once rejected here: the share of the traffic that the own zone could
+    // not take was given to no other zone.
     let zones: Vec<u32> = (0..16).map(|id| 10 + id % 8).collect();
     assert_served_evenly(2, &zones);
 }
