--- a/crates/balancer/tests/configuration.rs
+++ b/crates/balancer/tests/configuration.rs
@@ -2,8 +2,11 @@
 
 use brookstack_balancer::*;
 
-/// The setting that an error names when the example configuration is created with this change.
-fn rejected_setting(change: fn(&mut Config)) -> Option<&'static str> {
+/// A change of the example configuration.
+type Change = fn(&mut Config);
+
+/// The setting that an error names when a balancer is created with this change.
+fn rejected_setting(change: Change) -> Option<&'static str> {
     let mut config = Config::example();
     change(&mut config);
     Balancer::new(config, 1).err().map(|error| error.setting)
@@ -11,41 +14,30 @@
 
 #[test]
 fn an_invalid_configuration_is_rejected_with_an_error_that_names_the_setting() {
-    assert_eq!(rejected_setting(|c| c.proxy_count = 0), Some("group_size"));
-    assert_eq!(rejected_setting(|c| c.zone_count = 0), Some("zones"));
-    assert_eq!(rejected_setting(|c| c.classes.clear()), Some("profiles"));
-    assert_eq!(
-        rejected_setting(|c| c.classes[0].latency_objective = Micros(0)),
-        Some("profiles.aim_us")
-    );
-    assert_eq!(
-        rejected_setting(|c| c.classes[0].priority_weight = f64::NAN),
-        Some("profiles.gain")
-    );
-    assert_eq!(
-        rejected_setting(|c| c.classes[0].late_weight = 1.5),
-        Some("profiles.late_worth")
-    );
-    let negative_quota = |c: &mut Config| c.tenants.push(Tenant { quota_per_s: -1.0 });
-    assert_eq!(
-        rejected_setting(negative_quota),
-        Some("customers.quota_rps")
-    );
-    assert_eq!(
-        rejected_setting(|c| c.max_attempts = 0),
-        Some("limits.max_attempts")
-    );
-    assert_eq!(
-        rejected_setting(|c| c.tick = Micros(0)),
-        Some("granularity_us")
-    );
-    assert_eq!(
-        rejected_setting(|c| c.slow_start_floor = -0.1),
-        Some("rules.cold_from")
-    );
-    assert_eq!(
-        rejected_setting(|c| c.overload_multiple = f64::INFINITY),
-        Some("rules.fall_multiple")
-    );
+    let invalid_changes: [(Change, &str); 11] = [
+        (|c| c.proxy_count = 0, "group_size"),
+        (|c| c.zone_count = 0, "zones"),
+        (|c| c.classes.clear(), "profiles"),
+        (
+            |c| c.classes[0].latency_objective = Micros(0),
+            "profiles.aim_us",
+        ),
+        (|c| c.classes[0].priority_weight = f64::NAN, "profiles.gain"),
+        (|c| c.classes[0].late_weight = 1.5, "profiles.late_worth"),
+        (
+            |c| c.tenants.push(Tenant { quota_per_s: -1.0 }),
+            "customers.quota_rps",
+        ),
+        (|c| c.max_attempts = 0, "limits.max_attempts"),
+        (|c| c.tick = Micros(0), "granularity_us"),
+        (|c| c.slow_start_floor = -0.1, "rules.cold_from"),
+        (
+            |c| c.overload_multiple = f64::INFINITY,
+            "rules.fall_multiple",
+        ),
+    ];
+    for (change, setting) in invalid_changes {
+        assert_eq!(rejected_setting(change), Some(setting));
+    }
     assert_eq!(rejected_setting(|_| ()), None);
 }
--- a/crates/balancer/tests/subset.rs
+++ b/crates/balancer/tests/subset.rs
@@ -7,10 +7,17 @@
 use common::test_host::TestHost;
 use common::traffic::*;
 use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
 
-/// The backends that 700 requests use.
+/// Requests that show which backends a proxy uses.
+const REQUEST_COUNT: usize = 700;
+/// How many backends these requests use; with all of 2,000 backends they would use 590 of them,
+/// each once.
+const BACKENDS_IN_USE: RangeInclusive<usize> = 180..=300;
+
+/// The backends that [`REQUEST_COUNT`] requests use.
 fn backends_used(host: &mut TestHost) -> BTreeSet<u32> {
-    serve_steadily_without_faults(host, 700)
+    serve_steadily_without_faults(host, REQUEST_COUNT)
         .into_iter()
         .collect()
 }
@@ -33,51 +40,61 @@
         .collect()
 }
 
-#[test]
-fn a_proxy_uses_its_subset_and_replaces_removed_backends() {
-    // With all of 2,000 backends 700 requests would use 590 of them, each once.
+/// One of 300 proxies in front of these backends.
+fn host_with_subset(endpoints: Vec<Endpoint>) -> TestHost {
     let config = Config {
         proxy_index: 77,
         zone_count: 2,
         ..config_with_proxies(300)
     };
-    let endpoints: Vec<Endpoint> = (0..2_000).map(|id| backend(id, id % 2, id % 3)).collect();
-    let mut host = TestHost::with_seed(config, 5, endpoints.clone());
-    let before = backends_used(&mut host);
-    assert!(
-        (180..=300).contains(&before.len()),
-        "{} backends used",
-        before.len()
-    );
-    // The test host accepts no dispatch to a draining backend; the subset is completed from the
-    // other backends.
-    host.update_endpoints(
-        EndpointUpdate::Delta,
-        leaving_backends(&endpoints, BackendState::Draining),
-    );
-    let while_draining = backends_used(&mut host);
+    TestHost::with_seed(config, 5, endpoints)
+}
+
+/// Drains half of the backends. The test host accepts no dispatch to a draining backend; the subset
+/// is completed from the other backends.
+fn assert_kept_while_draining(host: &mut TestHost, endpoints: &[Endpoint], before: &BTreeSet<u32>) {
+    let draining = leaving_backends(endpoints, BackendState::Draining);
+    host.update_endpoints(EndpointUpdate::Delta, draining);
+    let while_draining = backends_used(host);
     assert!(
         while_draining.iter().all(|backend| stays(*backend)),
         "a draining backend was used"
     );
     let in_use = while_draining.len();
-    let kept = while_draining.intersection(&before).count();
+    let kept = while_draining.intersection(before).count();
     assert!(
         kept * 10 >= in_use * 9,
         "the subset changed while backends drain: {kept} of {in_use} kept"
     );
-    host.update_endpoints(
-        EndpointUpdate::Delta,
-        leaving_backends(&endpoints, BackendState::Removed),
-    );
-    let after = backends_used(&mut host);
+}
+
+/// Removes the draining half of the backends.
+fn assert_replaced_after_removal(
+    host: &mut TestHost,
+    endpoints: &[Endpoint],
+    before: &BTreeSet<u32>,
+) {
+    let removed = leaving_backends(endpoints, BackendState::Removed);
+    host.update_endpoints(EndpointUpdate::Delta, removed);
+    let after = backends_used(host);
     let in_use = after.len();
-    assert!((180..=300).contains(&in_use), "{in_use} backends used");
-    let added = after.difference(&before).count();
+    assert!(BACKENDS_IN_USE.contains(&in_use), "{in_use} backends used");
+    let added = after.difference(before).count();
     assert!(
         added * 3 >= in_use,
         "removed backends were not replaced: {added} of {in_use} are new"
     );
+}
+
+#[test]
+fn a_proxy_uses_its_subset_and_replaces_removed_backends() {
+    let endpoints: Vec<Endpoint> = (0..2_000).map(|id| backend(id, id % 2, id % 3)).collect();
+    let mut host = host_with_subset(endpoints.clone());
+    let before = backends_used(&mut host);
+    let in_use = before.len();
+    assert!(BACKENDS_IN_USE.contains(&in_use), "{in_use} backends used");
+    assert_kept_while_draining(&mut host, &endpoints, &before);
+    assert_replaced_after_removal(&mut host, &endpoints, &before);
     let requests: Vec<RequestId> = host.requests.keys().copied().collect();
     let served = host.count_completed(&requests, Completion::Served);
     assert!(served >= 2_080, "{served} of 2100 served");
