--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -52,6 +52,34 @@
     assert!(proxy.wait_for_exit().success());
 }
 
+/// Sends a request in two parts, the second on demand.
+struct SplitRequest {
+    client: Client,
+    rest: String,
+}
+
+impl SplitRequest {
+    /// Sends the first `length` bytes of a request.
+    fn send_first(proxy: &ProxyProcess, text: &str, length: usize) -> SplitRequest {
+        let (first, rest) = text.split_at(length);
+        SplitRequest {
+            client: Client::connect_and_send(proxy.address, first),
+            rest: rest.into(),
+        }
+    }
+
+    fn send_rest(mut self) -> Client {
+        self.client.send(&self.rest);
+        self.client
+    }
+}
+
+/// Sends a `read` request with this path in place of the usual one.
+fn send_read_of(proxy: &ProxyProcess, path: &str) -> Client {
+    let text = request("read", 7000).replace("/a?", path);
+    Client::connect_and_send(proxy.address, &text)
+}
+
 /// Requests around a SIGTERM, each at another stage, are answered; afterwards no connection stays
 /// open.
 #[test]
@@ -59,19 +87,14 @@
     let (opener, gate) = ResponseGate::closed();
     let backend = start_backend_with_held_and_large_responses(gate);
     let (mut proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
-    let connect = || Client::connect(proxy.address);
-    let [mut with_half_head, mut with_half_body, mut unused] = [connect(), connect(), connect()];
-    let first = request("pay", 7000);
-    let (half_head, rest_of_head) = first.split_at(40);
-    with_half_head.send(half_head);
-    let second = request("pay", 7000);
-    let (half_body, rest_of_body) = second.split_at(second.len() - 2);
-    with_half_body.send(half_body);
-    let held_request = request("read", 7000).replace("/a?", "/held?");
-    let mut held = Client::connect_and_send(proxy.address, &held_request);
+    let mut unused = Client::connect(proxy.address);
+    let text = request("pay", 7000);
+    let half_head = SplitRequest::send_first(&proxy, &text, 40);
+    let text = request("pay", 7000);
+    let half_body = SplitRequest::send_first(&proxy, &text, text.len() - 2);
+    let held = send_read_of(&proxy, "/held?");
     wait_until("the held request is sent", || backend.request_count() == 1);
-    let large_request = request("read", 7000).replace("/a?", "/large?");
-    let mut unread = Client::connect_and_send(proxy.address, &large_request);
+    let unread = send_read_of(&proxy, "/large?");
     wait_until("the large request is sent", || backend.request_count() == 2);
     let mut idle = Client::connect_and_send(proxy.address, &request("read", 7000));
     assert_eq!(idle.read_status(), Some(200));
@@ -82,17 +105,10 @@
         .read_response()
         .expect("a response while the connection is open");
     assert_last_response_of_connection(&response);
-    with_half_head.send(rest_of_head);
-    with_half_body.send(rest_of_body);
+    let with_rest = [half_head.send_rest(), half_body.send_rest()];
     unused.send(&request("read", 7000));
     opener.open();
-    for client in [
-        &mut with_half_head,
-        &mut with_half_body,
-        &mut unused,
-        &mut held,
-        &mut unread,
-    ] {
+    for mut client in with_rest.into_iter().chain([unused, held, unread]) {
         assert_eq!(client.read_status(), Some(200));
         assert!(client.wait_for_close());
     }
--- a/crates/proxy/tests/support/settings.rs
+++ b/crates/proxy/tests/support/settings.rs
@@ -7,8 +7,16 @@
 
 /// An endpoint of the list; a start time of 0 stands for an unknown one.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str, started_at_ms: u64) -> Value {
-    json!({"name": name, "address": address.to_string(), "zone": "east", "type": "m1", "group": 1,
-           "status": status, "weight": 1.0, "since_ms": started_at_ms})
+    json!({
+        "name": name,
+        "address": address.to_string(),
+        "zone": "east",
+        "type": "m1",
+        "group": 1,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": started_at_ms,
+    })
 }
 
 /// An endpoint that takes requests.
@@ -26,13 +34,24 @@
     endpoint(name, address, "gone", 0)
 }
 
+/// A traffic class with a latency objective of 5 s and a deadline of 8 s.
+fn class(name: &str, effect: &str) -> Value {
+    json!({
+        "name": name,
+        "effect": effect,
+        "key_scope": "zone",
+        "window_us": 1_200_000,
+        "aim_us": 5_000_000,
+        "deadline_us": 8_000_000,
+        "gain": 1.0,
+        "late_worth": 0.0,
+        "stream": false,
+    })
+}
+
 /// The settings of the balancer: the classes `read` (idempotent), `vote` (with an idempotency key)
 /// and `pay` (non-idempotent).
 fn balancer_settings() -> Value {
-    let class = |name: &str, effect: &str| {
-        json!({"name": name, "effect": effect, "key_scope": "zone", "window_us": 1_200_000, "aim_us": 5_000_000,
-               "deadline_us": 8_000_000, "gain": 1.0, "late_worth": 0.0, "stream": false})
-    };
     json!({
         "blend": {"whole": 0.7, "worst_class": 0.3},
         "costs": {"cross_zone": 0.0},
@@ -41,13 +60,24 @@
         "granularity_us": 4000,
         "group_size": 1,
         "position": 0,
-        "limits": {"cancel": true, "conn_idle_us": 30_000_000, "dial_timeout_us": 2_000_000, "max_attempts": 4,
-                   "open_cap": 20_000, "parallel_tries": true},
+        "limits": {
+            "cancel": true,
+            "conn_idle_us": 30_000_000,
+            "dial_timeout_us": 2_000_000,
+            "max_attempts": 4,
+            "open_cap": 20_000,
+            "parallel_tries": true,
+        },
         "my_zone": "east",
         "over_share_worth": 0.1,
         "profiles": [class("read", "free"), class("vote", "guarded"), class("pay", "single_shot")],
-        "rules": {"cold_from": 0.3, "fall_multiple": 2.5, "must_ask_in_us": 10_000_000,
-                  "ramp_time_us": 9_000_000, "tip_after_us": 2_000_000},
+        "rules": {
+            "cold_from": 0.3,
+            "fall_multiple": 2.5,
+            "must_ask_in_us": 10_000_000,
+            "ramp_time_us": 9_000_000,
+            "tip_after_us": 2_000_000,
+        },
         "weight_source": "rough",
         "zones": ["east", "west"],
     })
@@ -56,9 +86,13 @@
 /// The configuration of a proxy that starts with these endpoints.
 pub fn proxy_config(discovery: SocketAddr, endpoints: &[Value]) -> Value {
     json!({
-        "name": "n1", "listen": free_address().to_string(), "discovery": discovery.to_string(),
-        "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": 0, "snapshot": true, "endpoints": endpoints}, "settings": balancer_settings(),
+        "name": "n1",
+        "listen": free_address().to_string(),
+        "discovery": discovery.to_string(),
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"index": 0, "snapshot": true, "endpoints": endpoints},
+        "settings": balancer_settings(),
     })
 }
 
