--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -4,10 +4,6 @@
 mod support;
 
 use serde_json::json;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::thread::JoinHandle;
-use std::time::Duration;
 use support::*;
 
 #[test]
@@ -47,51 +43,20 @@
 /// then.
 #[test]
 fn a_backend_that_drains_during_the_connect_gets_no_request() {
-    // Connections wait in a full backlog until the listener accepts; the proxy's is established
-    // after the update.
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let connect_timeout = Duration::from_millis(300);
-    let queued: Vec<TcpStream> =
-        std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok())
-            .take(10_000)
-            .collect();
+    let backend = SaturatedListener::start();
+    let address = backend.address();
     let discovery = FakeDiscovery::start();
     let mut config = proxy_config(discovery.address, &[ready("a", address)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
     let proxy = ProxyProcess::start(&config);
     let mut client = Client::connect_and_send(proxy.address, &request("pay", 30_000));
-    std::thread::sleep(connect_timeout); // as a rule long enough for the attempt to wait in the backlog
+    wait_until("the proxy connects to the backend", || {
+        backend.has_pending_connect()
+    });
     discovery.apply_delta(&[draining("a", address)]);
-    drop(queued);
-    let received = count_bytes_until_done(listener);
+    let counter = backend.into_byte_counter(TEST_TIMEOUT);
     assert_eq!(client.read_status(), Some(503));
-    send_done(address);
-    assert_eq!(received.join().unwrap(), 0);
-}
-
-/// Counts the bytes that arrive on all connections until one starts with `done`.
-fn count_bytes_until_done(listener: TcpListener) -> JoinHandle<usize> {
-    const END: &[u8] = b"done";
-    std::thread::spawn(move || {
-        let mut received = 0;
-        let mut buffer = [0; 64];
-        for mut stream in listener.incoming().map_while(Result::ok) {
-            match stream.read(&mut buffer) {
-                Ok(length) if buffer.starts_with(END) => return received + length - END.len(),
-                Ok(length) => received += length,
-                Err(_) => {}
-            }
-        }
-        received
-    })
-}
-
-fn send_done(address: SocketAddr) {
-    TcpStream::connect(address)
-        .unwrap()
-        .write_all(b"done")
-        .unwrap();
+    assert_eq!(counter.finish(), 0);
 }
 
 #[test]
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -6,6 +6,7 @@
     reason = "every test file compiles this module for itself and uses only a part of it"
 )]
 
+mod byte_counter;
 mod client;
 mod fake_backend;
 mod fake_discovery;
@@ -17,6 +18,7 @@
 mod tcp_table;
 mod wait;
 
+pub use byte_counter::ByteCounter;
 pub use client::{
     assert_reads_succeed, close_all, request, send_request, Client, CloseMode, DisconnectCase,
 };
--- a/crates/proxy/tests/support/saturated_listener.rs
+++ b/crates/proxy/tests/support/saturated_listener.rs
@@ -1,13 +1,15 @@
 //! A listener whose backlog is full: connections to it cannot be established until the test lets
 //! them.
 
+use super::byte_counter::ByteCounter;
 use super::tcp_table::{table_address, tcp_connections, TcpState};
-use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A connection that carries this and nothing else ends the counting.
-const END_OF_COUNT: &[u8] = b"done";
+/// A connection on which nothing arrives for so long is taken for an idle one.
+const MAX_SILENCE: Duration = Duration::from_millis(500);
+/// How long an attempt to connect may take until the backlog counts as full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A listener whose backlog is full.
 pub struct SaturatedListener {
@@ -31,9 +33,8 @@
         socket.listen(backlog).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let connect_timeout = Duration::from_millis(200);
         let queued =
-            std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok())
+            std::iter::from_fn(|| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok())
                 .take(100)
                 .collect();
         SaturatedListener { listener, queued }
@@ -69,30 +70,13 @@
 
     /// Accepts all connections from now on and counts the bytes that the proxy has sent on them.
     pub fn count_received_bytes(self) -> usize {
-        let address = self.address();
-        drop(self.queued);
-        let listener = self.listener;
-        let count = std::thread::spawn(move || count_until_end(&listener));
-        // The backlog frees up as it is accepted from: this connects once all before it have.
-        TcpStream::connect(address)
-            .unwrap()
-            .write_all(END_OF_COUNT)
-            .unwrap();
-        count.join().unwrap()
+        self.into_byte_counter(MAX_SILENCE).finish()
     }
-}
 
-fn count_until_end(listener: &TcpListener) -> usize {
-    let read_timeout = Duration::from_millis(500);
-    let mut count = 0;
-    for mut stream in listener.incoming().map_while(Result::ok) {
-        let mut received = Vec::new();
-        stream.set_read_timeout(Some(read_timeout)).unwrap();
-        let _ = stream.read_to_end(&mut received); // a timeout keeps what came before it
-        if received == END_OF_COUNT {
-            break;
-        }
-        count += received.len();
+    /// Accepts all connections from now on and starts to count what arrives on them; see
+    /// [`ByteCounter::start`].
+    pub fn into_byte_counter(self, max_silence: Duration) -> ByteCounter {
+        drop(self.queued);
+        ByteCounter::start(self.listener, max_silence)
     }
-    count
 }
