--- a/crates/balancer/tests/slow_start_fleet/scenario.rs
+++ b/crates/balancer/tests/slow_start_fleet/scenario.rs
@@ -48,7 +48,7 @@
     pub heavy_fraction: f64,
     /// All proxies restart so many seconds after the fault.
     pub proxies_restart_after_s: Option<f64>,
-    /// How many zones the proxies and backends are dealt to.
+    /// How many zones the proxies and backends are in.
     pub zone_count: u32,
     /// Fraction of its capacity that a backend has at its restart.
     pub slow_start_floor: f64,
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -64,9 +64,7 @@
 
 #[test]
 fn a_request_that_was_not_executed_is_retried() {
-    let unavailable =
-        || Reply::Respond("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
-    assert_eq!(outcome_of(unavailable, "pay"), SERVED_AFTER_RETRY);
+    assert_eq!(outcome_of(rejected_response, "pay"), SERVED_AFTER_RETRY);
     let timed_out =
         || Reply::Respond("HTTP/1.1 504 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
     assert_eq!(outcome_of(timed_out, "pay"), SERVED_AFTER_RETRY);
