--- a/crates/fleet-simulator/src/args.rs
+++ b/crates/fleet-simulator/src/args.rs
@@ -3,8 +3,8 @@
 mod matrix;
 mod setups;
 
+use crate::deployment::DiscoveryMode;
 use crate::simulated::scenario::Scenario;
-use crate::world::DiscoveryMode;
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
--- a/crates/fleet-simulator/src/args/matrix.rs
+++ b/crates/fleet-simulator/src/args/matrix.rs
@@ -1,8 +1,8 @@
 //! The sizes and scenarios that the command `all` runs.
 
 use super::{AllArgs, FleetArgs, RealArgs};
+use crate::deployment::DiscoveryMode;
 use crate::simulated::scenario::Scenario;
-use crate::world::DiscoveryMode;
 
 /// The sizes of the real proxy's cells, and how long each phase takes.
 struct RealMatrix {
--- a/crates/fleet-simulator/src/world/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -1,10 +1,10 @@
 //! The settings that a deployment gives to its proxies.
 
-use super::{
+use crate::failure::InputError;
+use crate::world::{
     tenant_name, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MICROS, PEAK_REQUESTS_PER_SECOND,
     SLOW_START_FLOOR, SLOW_START_MICROS, ZONES,
 };
-use crate::failure::InputError;
 use brookstack_balancer::settings::{self, Key};
 use brookstack_balancer::Config;
 use serde::Serialize;
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod args;
 mod arrivals;
+pub mod deployment;
 pub mod failure;
 mod histogram;
 pub mod real;
--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -5,8 +5,8 @@
 use super::phases::{LoadPhase, ProbePhase};
 use super::setup::Setup;
 use super::stall::Stall;
+use crate::deployment::DiscoveryMode;
 use crate::histogram::{millis, quantile_ms};
-use crate::world::DiscoveryMode;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
--- a/crates/fleet-simulator/src/real/setup.rs
+++ b/crates/fleet-simulator/src/real/setup.rs
@@ -1,6 +1,6 @@
 //! The setup of a cell.
 
-use crate::world::DiscoveryMode;
+use crate::deployment::DiscoveryMode;
 use std::path::PathBuf;
 use std::time::Duration;
 
--- a/crates/fleet-simulator/src/real/startup.rs
+++ b/crates/fleet-simulator/src/real/startup.rs
@@ -5,8 +5,9 @@
 use super::discovery::Discovery;
 use super::process::{self, ProxyProcess};
 use super::setup::Setup;
+use crate::deployment::Deployment;
 use crate::failure::{Failure, MeasurementError};
-use crate::world::{self, Deployment, TARGET_PROXIES};
+use crate::world::{self, TARGET_PROXIES};
 use serde_json::{json, Value};
 use std::time::Duration;
 
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -2,7 +2,6 @@
 //! busy machine has disturbed.
 
 use super::real_table::cpu_wait;
-use super::scenario_name;
 use crate::real::cell::Cell;
 use crate::simulated::figures::Figures;
 use crate::simulated::FleetRun;
@@ -62,7 +61,7 @@
 
 fn failed_fleet_checks(figures: &Figures) -> impl Iterator<Item = String> + '_ {
     let setup = &figures.setup;
-    let scenario = scenario_name(setup.scenario);
+    let scenario = setup.scenario.name();
     let failed = figures.checks.iter().filter(|check| !check.passed);
     failed.map(move |check| {
         format!(
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -1,6 +1,5 @@
 //! The table of the command `fleet`: one row per run.
 
-use super::scenario_name;
 use super::table::{Column, Table};
 use crate::simulated::load::{CountRange, Load};
 use crate::simulated::FleetRun;
@@ -12,7 +11,7 @@
     },
     Column {
         title: "scenario",
-        cell: |run| scenario_name(run.figures.setup.scenario),
+        cell: |run| run.figures.setup.scenario.name(),
     },
     Column {
         title: "requests (a proxy and second)",
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -17,13 +17,12 @@
 use crate::failure::{InputError, MeasurementError};
 use crate::histogram::quantile_ms;
 use brookstack_balancer::{Endpoint, EndpointUpdate, Micros, Time};
+use construction::START;
 use first_list::FirstList;
 use rayon::prelude::*;
 use recorder::Recorder;
 use std::sync::Arc;
 
-/// The clock at the start. The value has no meaning.
-const START: Time = Time(1_000_000_000_000);
 /// The length of a step.
 const STEP: Micros = Micros(5_000);
 /// The number of the second process of each proxy, after a restart.
--- a/crates/fleet-simulator/src/simulated/fleet/construction.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/construction.rs
@@ -1,6 +1,6 @@
 //! Builds the parts of a fleet from its setup.
 
-use super::START;
+use crate::deployment::{Deployment, DiscoveryMode};
 use crate::failure::InputError;
 use crate::simulated::backends::Backends;
 use crate::simulated::context::MeasurementWindow;
@@ -9,9 +9,10 @@
 use crate::simulated::scenario::TimelineSettings;
 use crate::simulated::setup::{Setup, WARM_UP_SECS};
 use crate::simulated::timeline::Timeline;
-use crate::world::{Deployment, DiscoveryMode};
-use brookstack_balancer::Micros;
+use brookstack_balancer::{Micros, Time};
 
+/// The clock at the start. The value has no meaning.
+pub(super) const START: Time = Time(1_000_000_000_000);
 /// The real proxy closes an idle connection after this fraction of the backends' own idle timeout.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -67,6 +67,13 @@
 }
 
 impl Scenario {
+    /// Its name, as on the command line and in JSON.
+    pub fn name(self) -> String {
+        let json = serde_json::to_value(self).ok();
+        let name = json.as_ref().and_then(|value| value.as_str());
+        name.unwrap_or_default().to_string()
+    }
+
     /// The least length of the measurement window in which the scenario shows its effects, s.
     pub fn min_secs(self) -> f64 {
         match self {
--- a/crates/fleet-simulator/src/world.rs
+++ b/crates/fleet-simulator/src/world.rs
@@ -1,11 +1,8 @@
-//! The deployment's shape at any size: its zones, machine types, groups, names and tenants, the
-//! entries of the endpoint list, and the settings of proxies.
-
-mod deployment;
+//! The deployment's shape at any size: its zones, machine types, groups, names and tenants, and
+//! the entries of the endpoint list.
 
 use brookstack_balancer::settings::stable_id;
 use brookstack_balancer::{BackendId, BackendState, CellId, Endpoint, MachineTypeId, Time, ZoneId};
-pub use deployment::{Deployment, DiscoveryMode};
 use serde::Serialize;
 
 /// Three regions with eight zones.
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -1,12 +1,12 @@
 //! The report of the real proxy's cells: failed checks, disturbed cells and tables.
 
+use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
     Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryFigures, RequestFigures, StallFigures,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
 use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, real_table, Table};
-use brookstack_fleet_simulator::world::DiscoveryMode;
 
 /// A cell that passes all checks.
 fn passing_cell() -> Cell {
