--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -26,7 +26,7 @@
     }
     let unanswered = cell.requests.not_served.no_response;
     if unanswered > 0 {
-        failed.push(format!("{name}: {unanswered} requests without an answer"));
+        failed.push(format!("{name}: {unanswered} requests without a response"));
     }
     failed
 }
@@ -49,7 +49,7 @@
 fn disturbed_cell(cell: &Cell) -> String {
     let name = cell_name(cell);
     let waits = cpu_wait(cell);
-    format!("{name}: without a core for {waits} % of the time")
+    format!("{name}: CPU wait of {waits} % of the time")
 }
 
 /// The checks on fleets that failed, one per line.
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -14,7 +14,7 @@
         cell: |run| run.figures.setup.scenario.name(),
     },
     Column {
-        title: "requests (a proxy and second)",
+        title: "requests (per second and proxy)",
         cell: arrived_requests,
     },
     Column {
@@ -22,59 +22,60 @@
         cell: |run| format!("{:.2}", 100.0 * run.figures.served_fraction()),
     },
     Column {
-        title: "refused / failed / unanswered / cut",
+        title: "rejected / failed / unanswered / interrupted",
         cell: requests_not_served,
     },
     Column {
-        title: "answer p50 / p99, ms",
+        title: "latency p50 / p99, ms",
         cell: latency,
     },
     Column {
-        title: "held before the first attempt p50 / p99, ms",
+        title: "queue delay p50 / p99, ms",
         cell: queue_delay,
     },
     Column {
-        title: "largest load over mean in a kind (by chance)",
+        title: "max / mean load within a machine type (by chance)",
         cell: |run| largest_load(&run.figures.load),
     },
     Column {
-        title: "spread of loads beyond chance, % of the mean",
+        title: "excess spread of load within a machine type, % of the mean",
         cell: |run| excess_spread(&run.figures.load),
     },
     Column {
-        title: "backends a proxy used (least, mean, most)",
+        title: "backends used per proxy (min, mean, max)",
         cell: |run| count_range(&run.figures.load.backends_per_proxy),
     },
     Column {
-        title: "proxies a backend was used by (least, mean, most)",
+        title: "proxies per backend (min, mean, max)",
         cell: |run| count_range(&run.figures.load.proxies_per_backend),
     },
     Column {
-        title: "new connections an attempt (1st, 2nd half)",
+        title: "new connections per attempt (1st, 2nd half)",
         cell: |run| new_connections(&run.figures.load),
     },
     Column {
-        title: "cold: backends, worst window (N), part of its bound, attempts beyond",
+        title:
+            "slow start: backends, worst window (budget), fraction of its bound, attempts beyond",
         cell: cold_starts,
     },
     Column {
-        title: "discovery: changes, calls, refused, queued too long",
+        title: "discovery: changes, calls, refused calls, calls timed out in the queue",
         cell: discovery_calls,
     },
     Column {
-        title: "told after p50 / p99 / longest, s; later than 6 s",
+        title: "notification delay p50 / p99 / max, s; later than 6 s",
         cell: notification_delay,
     },
     Column {
-        title: "sent to backends that leave: after told, after 6 s",
+        title: "late attempts on unavailable backends: after notification, after the deadline",
         cell: late_attempts,
     },
     Column {
-        title: "state, KB a proxy",
+        title: "memory, KB per proxy",
         cell: memory_per_proxy,
     },
     Column {
-        title: "wall, s (threads)",
+        title: "wall time, s (threads)",
         cell: |run| format!("{:.1} ({})", run.cost.wall_secs, run.cost.threads),
     },
 ];
--- a/crates/fleet-simulator/src/report/real_table.rs
+++ b/crates/fleet-simulator/src/report/real_table.rs
@@ -13,19 +13,19 @@
         cell: |cell| cell.tenants.to_string(),
     },
     Column {
-        title: "ready, s",
+        title: "time until ready, s",
         cell: |cell| format!("{:.2}", cell.ready_secs),
     },
     Column {
-        title: "resident at start (highest), MB",
+        title: "resident memory at start (peak), MB",
         cell: memory_at_start,
     },
     Column {
-        title: "after load (highest; with further whole lists), MB",
+        title: "resident memory after load (peak; peak after further snapshots), MB",
         cell: memory_after_load,
     },
     Column {
-        title: "CPU idle, % of a core",
+        title: "CPU when idle, % of a core",
         cell: |cell| format!("{:.2}", cell.cpu.cpu_idle_percent),
     },
     Column {
@@ -33,39 +33,39 @@
         cell: |cell| format!("{:.2}", cell.cpu.cpu_load_percent),
     },
     Column {
-        title: "list, bytes",
+        title: "endpoint list, bytes",
         cell: |cell| cell.discovery.list_bytes.to_string(),
     },
     Column {
-        title: "one change, bytes",
+        title: "delta of one endpoint, bytes",
         cell: |cell| format!("{:.0}", cell.discovery.change_bytes),
     },
     Column {
-        title: "idle, bytes/s",
+        title: "discovery when idle, bytes/s",
         cell: |cell| format!("{:.0}", cell.discovery.idle_bytes_per_s),
     },
     Column {
-        title: "new connections a request (1st, 2nd half)",
+        title: "new connections per request (1st, 2nd half)",
         cell: new_connections,
     },
     Column {
-        title: "added p50 / p99 / longest, ms",
+        title: "added latency p50 / p99 / max, ms",
         cell: added_latency,
     },
     Column {
-        title: "of it before the backend had it, and after its answer: p50 / p99, ms",
+        title: "added latency before and after the backend: p50 / p99, p50 / p99, ms",
         cell: parts_of_added_latency,
     },
     Column {
-        title: "stall of the data path: none / change / whole list, ms, median of 5 (longest)",
+        title: "data path stall without event / on delta / on snapshot: median of 5 (max), ms",
         cell: stalls,
     },
     Column {
-        title: "requests sent on; refused / failed / broken",
+        title: "requests forwarded; rejected / failed / without response",
         cell: request_counts,
     },
     Column {
-        title: "without a core idle / load / probes, % of the time",
+        title: "CPU wait when idle / under load / under probes, % of the time",
         cell: cpu_wait,
     },
 ];
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -15,37 +15,37 @@
 pub fn checks(figures: &Figures) -> Vec<Check> {
     vec![
         Check::at_most(
-            "requests that ended in no way, or twice",
+            "requests without exactly one outcome",
             miscounted_requests(figures) as f64,
             0.0,
         ),
         Check::at_least(
-            "part of the requests that was served",
+            "fraction of requests that were served",
             figures.served_fraction(),
             MIN_SERVED_FRACTION,
         ),
         Check::at_most(
-            "attempts later than 0.5 s after told",
+            "attempts on unavailable backends later than 0.5 s after notification",
             figures.late_attempts.after_notification as f64,
             0.0,
         ),
         Check::at_most(
-            "attempts later than 0.5 s after the 6 s",
+            "attempts on unavailable backends later than 0.5 s after the notification deadline",
             figures.late_attempts.after_deadline as f64,
             0.0,
         ),
         Check::at_most(
-            "changes told to a proxy later than 6 s",
+            "notifications later than the deadline of 6 s",
             figures.discovery.propagation.after_deadline as f64,
             0.0,
         ),
         Check::at_most(
-            "attempts on cold backends beyond their bound",
+            "attempts on backends in slow start beyond their bound",
             figures.cold_starts.attempts_over_bound as f64,
             0.0,
         ),
         Check::at_most(
-            "spread of loads beyond chance",
+            "excess spread of load within a machine type",
             largest_excess_spread(figures),
             MAX_EXCESS_SPREAD,
         ),
--- a/crates/fleet-simulator/tests/command.rs
+++ b/crates/fleet-simulator/tests/command.rs
@@ -80,7 +80,7 @@
     let Ended { exit_code, text } = run_with(&["--rate", "700", "--secs", "6"]);
     assert_eq!(exit_code, 1, "{text}");
     assert!(
-        text.contains("check failed: calm, 3 x 40: part of the requests that was served"),
+        text.contains("check failed: calm, 3 x 40: fraction of requests that were served"),
         "{text}"
     );
 }
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -98,11 +98,11 @@
     };
     assert_eq!(failed(&figures), Vec::<&str>::new());
     figures.late_attempts.after_notification = 1;
-    assert_eq!(failed(&figures), ["attempts later than 0.5 s after told"]);
-    figures.late_attempts.after_notification = 0;
-    figures.requests.rejected += 1;
     assert_eq!(
         failed(&figures),
-        ["requests that ended in no way, or twice"]
+        ["attempts on unavailable backends later than 0.5 s after notification"]
     );
+    figures.late_attempts.after_notification = 0;
+    figures.requests.rejected += 1;
+    assert_eq!(failed(&figures), ["requests without exactly one outcome"]);
 }
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -78,7 +78,7 @@
     };
     let figures = run(&Setup { faults, ..calm() }, 3);
     assert!(
-        failed_checks(&figures).contains(&"part of the requests that was served"),
+        failed_checks(&figures).contains(&"fraction of requests that were served"),
         "{:?}",
         figures.checks
     );
@@ -99,7 +99,7 @@
     };
     let figures = run(&cold, 3);
     assert_eq!(figures.cold_starts.backends, 4);
-    let name = "attempts on cold backends beyond their bound";
+    let name = "attempts on backends in slow start beyond their bound";
     assert!(
         failed_checks(&figures).contains(&name),
         "{:?}",
@@ -137,8 +137,8 @@
     );
     let failed = failed_checks(&figures);
     for name in [
-        "changes told to a proxy later than 6 s",
-        "attempts later than 0.5 s after the 6 s",
+        "notifications later than the deadline of 6 s",
+        "attempts on unavailable backends later than 0.5 s after the notification deadline",
     ] {
         assert!(failed.contains(&name), "{name}: {:?}", figures.checks);
     }
@@ -160,7 +160,7 @@
         3,
     );
     assert!(
-        failed_checks(&figures).contains(&"spread of loads beyond chance"),
+        failed_checks(&figures).contains(&"excess spread of load within a machine type"),
         "{:?}",
         figures.checks
     );
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -100,7 +100,7 @@
     };
     assert_eq!(
         failed_cells(&[without_response]),
-        ["200 backends x 7 tenants: 1 requests without an answer"]
+        ["200 backends x 7 tenants: 1 requests without a response"]
     );
 }
 
@@ -109,7 +109,7 @@
     assert_eq!(disturbed_cells(&[passing_cell()]), Vec::<String>::new());
     let mut busy = passing_cell();
     busy.cpu.cpu_wait_percent = [0.0, 2.5, 0.0];
-    let line = "200 backends x 7 tenants: without a core for 0.00 / 2.50 / 0.00 % of the time";
+    let line = "200 backends x 7 tenants: CPU wait of 0.00 / 2.50 / 0.00 % of the time";
     assert_eq!(disturbed_cells(&[passing_cell(), busy]), [line]);
 }
 
@@ -134,33 +134,33 @@
     let expected = [
         ("backends", "200"),
         ("tenants", "7"),
-        ("ready, s", "0.10"),
-        ("resident at start (highest), MB", "4.0 (4.0)"),
+        ("time until ready, s", "0.10"),
+        ("resident memory at start (peak), MB", "4.0 (4.0)"),
         (
-            "after load (highest; with further whole lists), MB",
+            "resident memory after load (peak; peak after further snapshots), MB",
             "8.0 (8.0; 9.0)",
         ),
-        ("CPU idle, % of a core", "0.10"),
+        ("CPU when idle, % of a core", "0.10"),
         ("CPU under load, % of a core", "2.00"),
-        ("list, bytes", "26080"),
-        ("one change, bytes", "250"),
-        ("idle, bytes/s", "30"),
-        ("new connections a request (1st, 2nd half)", "0.10, 0.00"),
-        ("added p50 / p99 / longest, ms", "1.00 / 6.00 / 9.0"),
+        ("endpoint list, bytes", "26080"),
+        ("delta of one endpoint, bytes", "250"),
+        ("discovery when idle, bytes/s", "30"),
+        ("new connections per request (1st, 2nd half)", "0.10, 0.00"),
+        ("added latency p50 / p99 / max, ms", "1.00 / 6.00 / 9.0"),
         (
-            "of it before the backend had it, and after its answer: p50 / p99, ms",
+            "added latency before and after the backend: p50 / p99, p50 / p99, ms",
             "0.80 / 5.50, 0.20 / 0.50",
         ),
         (
-            "stall of the data path: none / change / whole list, ms, median of 5 (longest)",
+            "data path stall without event / on delta / on snapshot: median of 5 (max), ms",
             "1.0 (2.0) / 1.0 (2.0) / 1.0 (2.0)",
         ),
         (
-            "requests sent on; refused / failed / broken",
+            "requests forwarded; rejected / failed / without response",
             "8400; 3 / 2 / 0",
         ),
         (
-            "without a core idle / load / probes, % of the time",
+            "CPU wait when idle / under load / under probes, % of the time",
             "0.00 / 0.40 / 0.90",
         ),
     ];
