--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -61,7 +61,7 @@
         &self.health
     }
 
-    /// The same for outlier detection, which alone changes it.
+    /// The same for those that change it: outlier detection, and the end of an ejection.
     pub fn health_mut(&mut self) -> &mut BackendHealth {
         &mut self.health
     }
