--- a/crates/balancer/src/estimation.rs
+++ b/crates/balancer/src/estimation.rs
@@ -1,4 +1,5 @@
-//! Estimates that the decisions work on: running means and rates, and the latency of each class.
+//! Estimates on which the balancer bases its decisions: running means and rates, and the latency of
+//! each class.
 
 mod estimators;
 mod latency;
@@ -9,5 +10,6 @@
 };
 pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY};
 
-/// Rate of this proxy's requests that is assumed before one was measured, in requests per second.
+/// Rate of this proxy's requests that is assumed until it has been measured, in requests per
+/// second.
 pub(crate) const ASSUMED_RATE: f64 = 1.0;
--- a/crates/balancer/src/estimation/estimators.rs
+++ b/crates/balancer/src/estimation/estimators.rs
@@ -1,34 +1,34 @@
-//! Running estimates of means, rates and fractions.
+//! Running estimates of means, fractions and rates, which weight older observations exponentially
+//! less.
 
 use crate::Time;
 
-/// Samples that a running mean or fraction covers: its error is then about a tenth of the samples'
-/// spread.
+/// Number of samples that a running mean or fraction covers. The error of such an estimate is about
+/// a tenth of the standard deviation of the samples.
 pub(crate) const SAMPLE_MEMORY: f64 = 100.0;
-/// Time that a rate estimate covers, 2 s. It is long enough for some hundred arrivals, and short
+/// Time that a rate estimate covers, 2 s. It is long enough for about a hundred arrivals, and short
 /// compared with a slow start or a failure.
 pub(crate) const RATE_MEMORY: f64 = 2.0;
-/// Observed time from which a rate is known, 0.1 s.
+/// A rate is known once more than this time has been observed, 0.1 s.
 const MIN_OBSERVED_SECS: f64 = RATE_MEMORY / 20.0;
-/// Time that a time-weighted mean covers, 1 s. It is long enough for some tens of requests, and
+/// Time that a time-weighted mean covers, 1 s. It is long enough for several tens of requests, and
 /// shorter than the time in which a backend becomes overloaded.
 const TIME_WEIGHTED_MEMORY: f64 = 1.0;
 
-/// Smallest divisor: keeps quotients of estimates finite.
+/// Lower bound of a divisor, which keeps quotients of estimates finite.
 pub(crate) const EPSILON: f64 = 1e-9;
 
 /// A mean over about the last [`SAMPLE_MEMORY`] samples.
-///
-/// It owns the mean and the number of samples. It takes the samples as arguments.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
     value: f64,
+    /// Number of samples, at most [`SAMPLE_MEMORY`].
     count: f64,
 }
 
 impl RunningMean {
-    /// Takes in a sample: the mean of all samples up to [`SAMPLE_MEMORY`], from then on an
-    /// exponentially weighted mean.
+    /// Adds a sample. The value is the plain mean of the first [`SAMPLE_MEMORY`] samples, and an
+    /// exponentially weighted mean from then on.
     pub fn add(&mut self, sample: f64) {
         self.count = (self.count + 1.0).min(SAMPLE_MEMORY);
         self.value += (sample - self.value) / self.count;
@@ -39,7 +39,7 @@
         self.value
     }
 
-    /// Number of samples in the mean, [`SAMPLE_MEMORY`] at most.
+    /// Number of samples in the mean, at most [`SAMPLE_MEMORY`].
     pub fn count(&self) -> f64 {
         self.count
     }
@@ -50,27 +50,27 @@
     }
 }
 
-/// Updates the fraction of about the last [`SAMPLE_MEMORY`] samples that were hits.
+/// Adds a sample to the fraction of hits among about the last [`SAMPLE_MEMORY`] samples.
 pub(crate) fn update_fraction(fraction: &mut f64, hit: bool) {
     *fraction += (f64::from(hit) - *fraction) / SAMPLE_MEMORY;
 }
 
-/// Events per second over about the last [`RATE_MEMORY`] seconds. The estimate has no bias while
-/// less time than that has been observed.
+/// Events per second over about the last [`RATE_MEMORY`] seconds.
 ///
-/// It owns the counts and the time of the last update. It takes the time and the events as
-/// arguments.
+/// Events and observed time are weighted in the same way, so the estimate is unbiased even while
+/// less than [`RATE_MEMORY`] has been observed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RateEstimator {
-    /// Events counted; older ones count less.
+    /// Number of events; older events count less.
     events: f64,
-    /// Seconds observed; older ones count less.
+    /// Number of seconds observed; older seconds count less.
     observed_secs: f64,
     updated_at: Option<Time>,
 }
 
 impl RateEstimator {
-    /// Counts `events` at `now`; zero events just let time pass.
+    /// Counts `events` at `now`. With zero events, only the time that has passed is taken into
+    /// account.
     pub fn add(&mut self, now: Time, events: f64) {
         let elapsed_secs = match self.updated_at {
             Some(updated_at) => (now - updated_at).secs(),
@@ -83,7 +83,7 @@
         self.updated_at = Some(now);
     }
 
-    /// Events per second; `None` until a twentieth of [`RATE_MEMORY`] has been observed.
+    /// Events per second; `None` until more than a twentieth of [`RATE_MEMORY`] has been observed.
     pub fn per_s(&self) -> Option<f64> {
         if self.observed_secs <= MIN_OBSERVED_SECS {
             return None;
@@ -92,9 +92,7 @@
     }
 }
 
-/// The mean of a count over about the last second, weighted by time.
-///
-/// It owns the mean and the time of the last update. It takes the time and the count as arguments.
+/// The mean of a count over about the last second ([`TIME_WEIGHTED_MEMORY`]), weighted by time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TimeWeightedMean {
     value: f64,
@@ -102,7 +100,7 @@
 }
 
 impl TimeWeightedMean {
-    /// Takes in that the count has been `count` from the last update until `now`.
+    /// Records that the count has been `count` from the last update until `now`.
     pub fn advance(&mut self, now: Time, count: f64) {
         let elapsed_secs = (now - self.updated_at).secs();
         let kept_fraction = (-elapsed_secs / TIME_WEIGHTED_MEMORY).exp();
--- a/crates/balancer/src/estimation/estimators/tests.rs
+++ b/crates/balancer/src/estimation/estimators/tests.rs
@@ -2,7 +2,7 @@
 use crate::Micros;
 
 const START: Time = Time(1_000_000);
-/// Largest difference to an expected value that counts as rounding.
+/// Largest difference from an expected value that counts as a rounding error.
 const TOLERANCE: f64 = 1e-9;
 
 fn millis_after_start(millis: u64) -> Time {
@@ -61,7 +61,7 @@
     assert_eq!(
         rate.per_s(),
         None,
-        "less than 0.1 s after the older time faded"
+        "older time counts less, so less than 0.1 s has been observed"
     );
     rate.add(millis_after_start(110), 1.0);
     assert!(rate.per_s().is_some());
--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -1,15 +1,16 @@
-//! Estimates of the latency and the work of each traffic class. They are learned from served
-//! requests only: errors, time-outs and rejections say nothing about them.
+//! Estimates of the latency and the work of each traffic class. Only served requests count: the
+//! time until an error, a timeout or a rejection shows neither latency nor work.
 
 use super::RunningMean;
 use crate::{ClassId, Config, Micros};
 
-/// Latency assumed before any response was seen, as a fraction of the latency objective.
+/// Latency that is assumed until a request has been served, as a fraction of the latency objective.
 pub(crate) const ASSUMED_LATENCY: f64 = 0.25;
-/// Shortest latency that counts, s.
+/// Shorter latencies are recorded as this latency, in seconds. It keeps quotients of mean latencies
+/// finite.
 const MIN_LATENCY: f64 = 1e-6;
 
-/// What is known of the latency of one class.
+/// The latency of one class.
 struct ClassLatency {
     /// The class's latency objective.
     objective: Micros,
@@ -19,8 +20,7 @@
 
 /// The latency of served requests, by class and over all classes.
 ///
-/// It owns the running means. The baseline latency of a backend, which belongs to its machine type,
-/// is passed in.
+/// The baseline latency of a backend is stored with its machine type and passed as an argument.
 pub(crate) struct LatencyEstimates {
     /// By the index of the class.
     classes: Vec<ClassLatency>,
@@ -29,7 +29,7 @@
 }
 
 impl LatencyEstimates {
-    /// Estimates without any sample.
+    /// Creates estimates without samples.
     pub fn new(config: &Config) -> LatencyEstimates {
         let classes = config.classes.iter().map(|class| ClassLatency {
             objective: class.latency_objective,
@@ -46,13 +46,14 @@
         self.overall.get().is_some()
     }
 
-    /// What a served request of the class usually takes; an assumption before any was served.
+    /// The mean latency of the class; an assumption until a request of the class has been served.
     pub fn typical(&self, class: ClassId) -> Micros {
         self.typical_within(class, self.classes[class.0].objective)
     }
 
-    /// The same for a request that has its own time until its objective. It may have less than
-    /// requests of its class usually have: an assumption about them says nothing of it.
+    /// The expected latency of a request of the class with its own latency objective. Until a
+    /// request of the class has been served, it is assumed from `objective`, because the request
+    /// may have less time than its class usually has.
     pub fn typical_within(&self, class: ClassId, objective: Micros) -> Micros {
         match self.classes[class.0].observed.get() {
             Some(seconds) => Micros::from_secs(seconds),
@@ -60,8 +61,8 @@
         }
     }
 
-    /// The work of a request of the class in multiples of the mean over all classes, as far as the
-    /// latency shows it.
+    /// The work of a request of the class in multiples of the mean over all requests, estimated
+    /// from the latency. It is 1 until a request of the class has been served.
     pub fn relative_work(&self, class: ClassId) -> f64 {
         match self.classes[class.0].observed.get() {
             Some(seconds) => seconds / self.overall.value(),
@@ -69,9 +70,9 @@
         }
     }
 
-    /// The latency of an unloaded response plus `fraction` of the time from there to the objective.
-    /// `baseline` is the unloaded latency of a mean request on the backend, s, if that is known.
-    /// The objective is that of the class, without a request's work hint.
+    /// The latency of the class on an unloaded backend, plus `fraction` of the remaining time until
+    /// the latency objective of the class. `baseline` is the latency of a mean request on the
+    /// unloaded backend in seconds, if known. The work hint of a request is not taken into account.
     pub fn latency_within_objective(
         &self,
         baseline: Option<f64>,
@@ -87,8 +88,8 @@
         Micros::from_secs(unloaded + slack * fraction)
     }
 
-    /// Learns from a served request's latency. Returns that latency, s, with the class mix taken
-    /// out: what a mean request would have taken.
+    /// Records the latency of a served request. Returns the latency, in seconds, that a request of
+    /// mean work would have had in its place, so that samples do not depend on the mix of classes.
     pub fn record(&mut self, class: ClassId, latency: Micros) -> f64 {
         let seconds = latency.secs().max(MIN_LATENCY);
         let own = &mut self.classes[class.0].observed;
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/peers.rs
@@ -1,8 +1,10 @@
-//! The proxies that share each backend.
+//! The proxies that share each backend, and this proxy's part of the concurrency on them.
 
-/// Requests that all proxies together should have in flight on one backend. A shared processor at
-/// four fifths of its capacity has four on average; more only makes each of them later. It is a
-/// target, which the limits of single proxies may exceed for a moment.
+/// The number of requests that all proxies together should have in flight on one backend.
+///
+/// A processor that is shared by its requests (M/G/1/PS) has 0.8 / (1 - 0.8) = 4 requests in flight
+/// on average when it is used at four fifths of its capacity. More requests only increase the
+/// latency of each one. The limits of single proxies may exceed this target for a moment.
 pub(crate) const TARGET_CONCURRENCY: f64 = 4.0;
 
 /// How many proxies share each backend that this proxy uses.
@@ -13,13 +15,15 @@
 }
 
 impl Peers {
-    /// Whether they are so few that their concurrency limits bound the load of each backend.
+    /// Whether the proxies are so few that their concurrency limits bound the load of each backend:
+    /// each proxy's part of the target is at least one attempt per backend.
     pub fn are_few(self) -> bool {
         self.per_backend <= TARGET_CONCURRENCY
     }
 
-    /// Attempts that this proxy may have in flight on backends of that total readiness, so that all
-    /// proxies together have [`TARGET_CONCURRENCY`] on each ready backend.
+    /// The number of attempts that this proxy should have in flight on backends whose readiness
+    /// adds up to `readiness`, so that all proxies together have [`TARGET_CONCURRENCY`] attempts in
+    /// flight on each ready backend.
     pub fn own_concurrency(self, readiness: f64) -> f64 {
         TARGET_CONCURRENCY / self.per_backend * readiness
     }
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -1,12 +1,15 @@
-//! Routing: each backend's part of this proxy's traffic and its limits, and the choice of a backend
-//! for a request.
+//! Routing: computes each backend's share of this proxy's traffic and its limits, and picks a
+//! backend for a request.
 //!
-//! Four shares lead from the fleet's traffic to the choice of a backend, all of them fractions:
+//! The weight with which a backend is picked is computed in four steps. Each step results in a
+//! fraction of the traffic:
 //!
-//! - the share of a machine type, of all proxies' traffic, by HALB;
-//! - the fair share of a backend: its part of that by readiness, multiplied by its zone's factor;
-//! - its planned share: what remains of the fair share within the backend's slow-start quota;
-//! - its local share, of this proxy's traffic, with which the backend is picked.
+//! 1. HALB gives each machine type its share of the traffic of all proxies.
+//! 2. The fair share of a backend is its part of the machine type's share in proportion to its
+//!    readiness, multiplied by the factor of its zone.
+//! 3. The planned share is the fair share, reduced to what the slow-start quotas allow.
+//! 4. The local share is the fraction of this proxy's traffic that the backend gets. It differs
+//!    from the planned share where slow-start quotas differ between proxies.
 
 mod concurrency_limits;
 mod picker;
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -1,4 +1,4 @@
-//! The limits on what this proxy has in flight on all backends together.
+//! The limits on the attempts that this proxy has in flight on all backends together.
 
 use crate::admission::{Priority, LOW_PRIORITY_CAPACITY_FRACTION};
 use crate::backends::{Backend, BackendTable};
@@ -7,29 +7,30 @@
 use crate::requests::RequestTable;
 use crate::Time;
 
-/// The momentary limit's allowance for chance, in standard deviations of a random count with its
-/// mean.
+/// Standard deviations by which the momentary limit exceeds this proxy's part of the target. The
+/// number in flight is taken to be Poisson distributed: its variance equals its mean.
 const CHANCE_ALLOWANCE: f64 = 1.5;
-/// What a proxy may have in flight for longer than a moment, in multiples of its part of the
-/// target. Chance gives one proxy more at times; if all had more at once, every backend would be
-/// overloaded for long.
+/// The sustained limit in multiples of this proxy's part of the target. At any time some proxies
+/// exceed their part by chance; if all proxies did so together, every backend would stay
+/// overloaded.
 const SUSTAINED_FACTOR: f64 = 1.5;
 
-/// How many attempts this proxy may have in flight.
+/// Limits how many attempts this proxy may have in flight.
 ///
-/// It owns the limits and the recent mean of what is in flight. The attempts themselves are passed
-/// in as a count.
+/// Owns the limits and the recent mean of the attempts in flight. The caller counts the attempts
+/// and passes their number.
 pub(crate) struct ConcurrencyLimits {
-    /// How many it may have in flight for a moment.
+    /// Most attempts in flight at any time.
     momentary: f64,
-    /// How many it may have in flight for longer than a moment.
+    /// Most attempts in flight on average over about a second; infinite if few proxies share each
+    /// backend.
     sustained: f64,
-    /// How many it had in flight over the last moments.
+    /// Mean number of attempts in flight over about the last second.
     recent: TimeWeightedMean,
 }
 
 impl ConcurrencyLimits {
-    /// Limits that allow nothing until they are first updated.
+    /// Creates limits that allow no attempt until the first [`update`](Self::update).
     pub fn new() -> ConcurrencyLimits {
         ConcurrencyLimits {
             momentary: 0.0,
@@ -38,12 +39,12 @@
         }
     }
 
-    /// Records how many attempts counted since the last call.
+    /// Records that `in_flight` attempts counted against the limits since the last call.
     pub fn record_in_flight(&mut self, now: Time, in_flight: f64) {
         self.recent.advance(now, in_flight);
     }
 
-    /// Computes the limits for backends of that total readiness.
+    /// Computes the limits for backends whose readiness adds up to `readiness`.
     pub fn update(&mut self, readiness: f64, peers: Peers) {
         let own_part = peers.own_concurrency(readiness);
         self.momentary = own_part + CHANCE_ALLOWANCE * own_part.sqrt() + 1.0;
@@ -54,7 +55,9 @@
         };
     }
 
-    /// Whether one more attempt may be sent while `in_flight` count.
+    /// Whether one more attempt may be sent while `in_flight` attempts count against the limits.
+    /// The sustained limit rejects an attempt only if the recent mean exceeds it and `in_flight`
+    /// has reached it.
     pub fn allow(&self, in_flight: f64, priority: Priority) -> bool {
         let limit = match priority {
             Priority::Normal => self.momentary,
@@ -65,9 +68,11 @@
     }
 }
 
-/// Attempts that count against the limits of this proxy. If few proxies share a backend, all count.
-/// Otherwise only those on usable backends count: an attempt on another backend may stay in flight
-/// until its deadline, and would take capacity that the usable backends have.
+/// Counts the attempts that count against the limits of this proxy.
+///
+/// If few proxies share a backend, all attempts in flight count. Otherwise only attempts on usable
+/// backends count: an attempt on an unusable backend may stay in flight until its deadline, and
+/// would meanwhile take up capacity of the usable backends.
 pub(crate) fn count_in_flight(
     requests: &RequestTable,
     backends: &BackendTable,
--- a/crates/balancer/src/routing/concurrency_limits/tests.rs
+++ b/crates/balancer/src/routing/concurrency_limits/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::test_fixtures::{SECOND, START};
 
-/// Limits for a proxy with a part of 16 attempts: 100 ready backends with 25 proxies on each.
+/// The limits of a proxy whose part of the target is 16 attempts: 4 attempts on each of 100 ready
+/// backends, divided by 25 proxies.
 fn limits() -> ConcurrencyLimits {
     let mut limits = ConcurrencyLimits::new();
     limits.update(100.0, Peers { per_backend: 25.0 });
@@ -10,7 +11,7 @@
 
 #[test]
 fn the_momentary_limit_allows_for_chance() {
-    // 16 + 1.5 x 4 + 1 = 23, of which low priority may take half.
+    // 16 + 1.5 x 4 + 1 = 23. Low-priority requests may take half of that.
     let limits = limits();
     assert!(limits.allow(22.0, Priority::Normal));
     assert!(!limits.allow(23.0, Priority::Normal));
@@ -21,7 +22,8 @@
 #[test]
 fn the_sustained_limit_holds_once_the_mean_has_risen() {
     let mut limits = ConcurrencyLimits::new();
-    // A part of 4 attempts: at most 4 + 1.5 x 2 + 1 = 8 for a moment, 6 for longer.
+    // The part of the target is about 4 attempts: the momentary limit is 4 + 1.5 x 2 + 1 = 8, the
+    // sustained limit 1.5 x 4 = 6.
     limits.update(4.0, Peers { per_backend: 4.1 });
     let part = 4.0 / 4.1 * 4.0;
     assert!(limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
--- a/crates/balancer/src/routing/picker.rs
+++ b/crates/balancer/src/routing/picker.rs
@@ -1,4 +1,4 @@
-//! The picker: which backend a request is sent to.
+//! The picker: chooses the backend that an attempt of a request is sent to.
 
 use crate::backends::{Backend, BackendTable};
 use crate::discovery_watch::{DiscoveryWatch, ACCEPTANCE_LIFETIME};
@@ -8,28 +8,29 @@
 use crate::retry::RetryPolicy;
 use crate::{Acceptance, BackendId, Config, MachineTypeId, Time};
 
-/// Random draws by share before all backends are looked through: when so many had no capacity, most
-/// have none.
+/// Number of random draws by share before the picker examines all backends. If this many drawn
+/// backends had no capacity, most backends have none.
 const MAX_DRAWS: usize = 8;
 
 /// Chooses a backend for one request.
 ///
-/// It owns nothing: it reads the backends, the age of the endpoint list and the work estimates.
+/// Has no state of its own: it reads the backends, the freshness of the endpoint list and the work
+/// estimates.
 pub(crate) struct Picker<'a> {
     now: Time,
     config: &'a Config,
     backends: &'a BackendTable,
     request: &'a Request,
     retry_policy: RetryPolicy<'a>,
-    /// The request's work in multiples of a mean request.
+    /// The expected work of the request in multiples of a mean request.
     work: f64,
-    /// The endpoint list has every change that discovery has had, and could be polled for, for
-    /// longer than the notification deadline.
+    /// Whether the endpoint list contains every change that a reachable discovery service has had
+    /// for longer than the notification deadline.
     is_list_fresh: bool,
 }
 
 impl<'a> Picker<'a> {
-    /// A picker for one request.
+    /// Creates a picker for one request.
     pub fn new(
         now: Time,
         config: &'a Config,
@@ -49,10 +50,12 @@
         }
     }
 
-    /// A backend for the request, or `None` if none has capacity. A first attempt draws a machine
-    /// type, then one of its backends, both by local share, up to [`MAX_DRAWS`] times. If no drawn
-    /// backend is available, or for a further attempt, one of all available backends is drawn by
-    /// local share.
+    /// Picks a backend for the next attempt; `None` if no backend is available.
+    ///
+    /// For a first attempt, a machine type and then one of its backends are drawn, both by local
+    /// share, up to [`MAX_DRAWS`] times until the drawn backend is available. For a further
+    /// attempt, or if no draw finds an available backend, one of all available backends is drawn
+    /// by local share.
     pub fn pick(&self, rng: &mut Rng) -> Option<BackendId> {
         if self.request.is_unsent() {
             let machine_types = self.shares_of_machine_types();
@@ -78,7 +81,8 @@
         shares
     }
 
-    /// The backend of a machine type at a position of its shares, if the request may go there.
+    /// The backend at `position` (from 0 to 1) of a machine type's cumulative shares, if it is
+    /// available for the request.
     fn backend_at(&self, machine_type: MachineTypeId, position: f64) -> Option<BackendId> {
         let machine_type = self.backends.machine_type(machine_type)?;
         let id = machine_type.backend_at(position)?;
@@ -99,8 +103,9 @@
         shares
     }
 
-    /// Whether the backend may be sent this request and has capacity for it. An overloaded backend
-    /// stays slow for long, so one that is full is never given more.
+    /// Whether the request may be sent to the backend, and the backend has capacity for it. No
+    /// request is sent beyond a backend's limits, even if no other backend has capacity: an
+    /// overloaded backend stays slow for a long time.
     fn is_available(&self, backend: &Backend) -> bool {
         let priority = self.request.weight.priority();
         let window = self.config.overload_window;
@@ -112,9 +117,9 @@
             && backend.is_within_slow_start_quota(self.now, window, self.work)
     }
 
-    /// Whether the backend's entry may be relied on: if the list is stale, the backend may have
-    /// begun to drain. A stale list is still trusted for a backend that served a request that was
-    /// sent less than [`ACCEPTANCE_LIFETIME`] ago.
+    /// Whether the backend's entry in the endpoint list may be relied on. If the list is stale, the
+    /// backend may have begun to drain. Its entry is still trusted if the backend served a request
+    /// that was sent less than [`ACCEPTANCE_LIFETIME`] ago.
     fn is_listing_trusted(&self, backend: &Backend) -> bool {
         let is_recent = |accepted: Acceptance| self.now - accepted.sent_at < ACCEPTANCE_LIFETIME;
         self.is_list_fresh || backend.health().last_acceptance().is_some_and(is_recent)
--- a/crates/balancer/src/routing/slow_start_quotas.rs
+++ b/crates/balancer/src/routing/slow_start_quotas.rs
@@ -1,43 +1,47 @@
-//! Slow-start quotas: a backend that has just started fails under too much work, and the proxies,
-//! which do not communicate, must keep to its limit together.
+//! Slow-start quotas: how much work this proxy may send to a backend in slow start.
+//!
+//! A backend that has just started fails if it receives too much work. The proxies do not
+//! communicate, so each one computes a quota such that the quotas of all proxies together stay
+//! within the backend's overload limit.
 
 use crate::backends::{warmup_fraction, Backend, MachineType};
 use crate::estimation::{ASSUMED_RATE, EPSILON};
 use crate::peers::Peers;
 use crate::{BackendId, Config, Micros, Time};
 
-/// Fraction of the overload limit that proxies divide: the rest is for heavy work and errors of the
-/// estimate.
+/// Fraction of the overload limit that is divided among the proxies. The rest is a reserve for
+/// requests with much work and for errors of the speed estimate.
 const DIVIDED_FRACTION: f64 = 0.8;
-/// Fraction of its quota that a proxy plans to use: a quota is used up completely only if a request
-/// waits for it at every moment.
+/// Greatest fraction of its quota that a proxy plans to use. To use all of it, a request would have
+/// to be waiting whenever the quota allows one.
 const MAX_PLANNED_USE: f64 = 0.65;
-/// Speed of a backend of an unknown machine type, as a fraction of an even share of the traffic:
-/// the rate may be that of a burst.
+/// Assumed speed of a backend whose machine type has served nothing yet, as a fraction of an even
+/// share of the fleet's traffic. It is below 1 because the measured rate may be that of a burst.
 const UNKNOWN_SPEED: f64 = 0.5;
-/// Fraction of a capacity that is divided evenly; the rest follows the factors of the zones.
+/// Fraction of a backend's capacity that is divided evenly among the proxies. The rest is divided
+/// in proportion to the zone factors.
 const EVEN_FRACTION: f64 = 0.5;
-/// The golden ratio as a fraction of 2^64.
+/// The fractional part of the golden ratio, multiplied by 2^64.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The square root of two as a fraction of 2^64.
+/// The fractional part of the square root of two, multiplied by 2^64.
 const ROOT_OF_TWO: u64 = 0x6a09_e667_f3bc_c909;
-/// Low bits of a mixed number that a fraction of 53 bits has no room for.
+/// Low bits of a 64-bit number that do not fit into the 53-bit significand of an `f64`.
 const SURPLUS_BITS: u32 = 11;
-/// Number of values that a fraction of 53 bits can have.
+/// Number of values that 53 bits can represent.
 const FRACTION_STEPS: f64 = (1u64 << 53) as f64;
 
 /// What this proxy may send to a backend in slow start.
 pub(crate) struct SlowStartQuota {
-    /// Work in any overload window, in multiples of a mean request; infinite after slow start.
+    /// Most work in any overload window, in multiples of a mean request; infinite after slow start.
     pub work: f64,
-    /// Fraction of the fleet's traffic that the quotas of all proxies let the backend take.
+    /// Fraction of the fleet's traffic that the backend gets within the quotas of all proxies.
     pub planned_share: f64,
-    /// Fraction of this proxy's traffic with which it picks the backend. Proxies with a quota pick
-    /// it more often than the planned share, because others have none.
+    /// Fraction of this proxy's traffic that the backend gets. If only some proxies have a quota,
+    /// their local share exceeds the planned share to make up for the proxies without one.
     pub local_share: f64,
 }
 
-/// Inputs of the slow-start quotas that are the same for all backends.
+/// The inputs of the slow-start quotas that are the same for all backends.
 pub(crate) struct SlowStartPlan<'a> {
     /// The time of the computation.
     pub now: Time,
@@ -45,20 +49,22 @@
     pub config: &'a Config,
     /// The proxies that share each backend.
     pub peers: Peers,
-    /// This proxy's number among them.
+    /// This proxy's index among them, from 0.
     pub replica_index: u64,
-    /// Number of backends that this proxy uses, with removed ones that have attempts in flight.
+    /// Number of backends that this proxy uses, including removed backends with attempts in
+    /// flight.
     pub backend_count: usize,
     /// Requests per second that this proxy admits, if known.
     pub own_rate: Option<f64>,
-    /// Fraction of an overload window that this proxy has been running. A proxy does not know what
-    /// it sent before a restart, so its quotas grow over one window.
+    /// Time that this proxy has been running, as a fraction of the overload window, at most 1. A
+    /// restarted proxy does not know what it sent before, so its quotas grow over one window.
     pub window_fraction: f64,
 }
 
 impl SlowStartPlan<'_> {
-    /// The quota of a backend. `fair_share` is the fraction of the traffic that it would get
-    /// without a quota, `zone_factor` the factor on the shares of its zone.
+    /// The quota of a backend. `fair_share` is the fraction of the traffic that the backend would
+    /// get without a quota. `zone_factor` is the factor of its zone from
+    /// [`ZoneFactors`](super::ZoneFactors).
     pub fn quota(
         &self,
         id: BackendId,
@@ -80,8 +86,8 @@
         self.divide(mean_part, self.rank(id), fair_share)
     }
 
-    /// Work that all proxies together may send to a backend in an overload window; infinite after
-    /// slow start.
+    /// The work, in multiples of a mean request, that all proxies together may send to a backend in
+    /// an overload window. Infinite after slow start, or if no overload window is configured.
     fn overload_limit(&self, backend: &Backend, machine_type: &MachineType) -> f64 {
         let window = self.config.overload_window;
         let warmup = warmup_fraction(self.now, self.config, backend.endpoint(), 1.0);
@@ -95,7 +101,8 @@
         self.config.overload_multiple * warmup * speed * window.secs()
     }
 
-    /// The speed of a backend of a machine type that has served nothing yet, requests per second.
+    /// The assumed speed of a backend whose machine type has served nothing yet, in requests per
+    /// second.
     fn unknown_speed(&self) -> f64 {
         let fleet_rate = self.own_rate.unwrap_or(ASSUMED_RATE) * self.peers.per_backend;
         fleet_rate / self.backend_count as f64 * UNKNOWN_SPEED
@@ -104,17 +111,19 @@
     /// This proxy's quota if the mean over all proxies is `mean_part`, in multiples of a mean
     /// request.
     ///
-    /// The mean is mostly below one request. Rounded by rank, the quota is one request for some
-    /// proxies and none for others. So all of them together keep to the limit whatever comes, even
-    /// at an unknown rate and with retries. Those that have a quota pick the backend that much
-    /// more.
+    /// The mean is mostly below one request. It is rounded up or down by the proxy's rank, so that
+    /// some proxies have a quota of one request and the others have none. The sum over all proxies
+    /// then stays within the limit whatever traffic arrives, even if the rate is unknown or
+    /// requests are retried. Proxies that have a quota pick the backend correspondingly more
+    /// often.
     fn divide(&self, mean_part: f64, rank: f64, fair_share: f64) -> SlowStartQuota {
         let requests_per_window = self.requests_per_window();
         let usable_share = MAX_PLANNED_USE * mean_part / requests_per_window.max(EPSILON);
         let planned_share = fair_share.min(usable_share);
         let work = (mean_part * self.window_fraction + rank).floor();
-        // One request uses a small quota up, which closes the backend until the window is over.
-        // Larger quotas last.
+        // One request uses up a small quota, and the backend is then unavailable to this proxy for
+        // the rest of the window. The local share makes up for that time. A mean quota of at least
+        // one request needs no such correction.
         let used_fraction = planned_share * requests_per_window / mean_part.max(EPSILON);
         let closed_fraction = used_fraction * (1.0 - mean_part).max(0.0);
         let local_share = if work > 0.0 {
@@ -129,14 +138,16 @@
         }
     }
 
-    /// Requests that come to this proxy in an overload window.
+    /// Requests that this proxy admits in an overload window; 0 if the rate is unknown.
     fn requests_per_window(&self) -> f64 {
         self.own_rate.unwrap_or(0.0) * self.config.overload_window.secs()
     }
 
-    /// This proxy's rank for a backend among the proxies that share it, from 0 to 1. Multiples of
-    /// irrational numbers spread evenly over all proxies, over those of one zone or release, and
-    /// over the backends of one proxy.
+    /// This proxy's rank for a backend among the proxies that share it, from 0 to 1.
+    ///
+    /// The fractional parts of the multiples of an irrational number are evenly distributed. So the
+    /// ranks are evenly distributed over all proxies, over the proxies of one zone or one release,
+    /// and over the backends of one proxy.
     fn rank(&self, id: BackendId) -> f64 {
         let by_replica = self.replica_index.wrapping_mul(GOLDEN_RATIO);
         let by_backend = id.0.wrapping_mul(ROOT_OF_TWO);
@@ -145,7 +156,8 @@
     }
 }
 
-/// The factor on a capacity of which half goes by the zone's factor and half evenly.
+/// The factor on a proxy's part of a backend's capacity, of which half is divided by the zone
+/// factors and half evenly.
 pub(super) fn half_by_zone(zone_factor: f64) -> f64 {
     EVEN_FRACTION + (1.0 - EVEN_FRACTION) * zone_factor
 }
--- a/crates/balancer/src/routing/slow_start_quotas/tests.rs
+++ b/crates/balancer/src/routing/slow_start_quotas/tests.rs
@@ -14,7 +14,7 @@
     backend
 }
 
-/// The quota of one of many proxies for a backend, while each of them admits 20 requests/s.
+/// The quota that one of [`PROXIES`] proxies has for a backend. Each proxy admits 20 requests/s.
 fn quota(config: &Config, replica_index: u32, backend: &Backend) -> SlowStartQuota {
     let plan = SlowStartPlan {
         now: START + SECOND,
@@ -34,14 +34,15 @@
 fn the_quotas_of_all_proxies_add_up_to_less_than_the_limit() {
     let config = Config::example();
     let backend = started_at(Some(START));
-    // Of an unknown machine type: 20 x 300 / 200 x 0.5 = 15 requests/s, a tenth of the slow start.
+    // The machine type's speed is unknown, so 20 x 300 / 200 x 0.5 = 15 requests/s are assumed. A
+    // tenth of the slow start is over.
     let warmup = 0.3 + 0.7 * 0.1;
     let limit = 3.0 * warmup * 15.0 * 2.0;
     let quotas = (0..PROXIES).map(|index| quota(&config, index, &backend).work);
     let sum: f64 = quotas.sum();
     assert!(
         (sum - limit * DIVIDED_FRACTION).abs() < 2.0,
-        "{sum} of {limit}"
+        "the quotas add up to {sum}, the overload limit is {limit}"
     );
 }
 
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -1,5 +1,4 @@
-//! The regular computation of the shares: each backend's part of this proxy's traffic and its
-//! limits.
+//! The traffic shares: when they are computed, and the share and the limits that each backend gets.
 
 use super::slow_start_quotas::{half_by_zone, SlowStartPlan};
 use super::zone_affinity::ZoneFactors;
@@ -9,38 +8,41 @@
 use crate::subset::Replica;
 use crate::{BackendId, Config, Micros, Time};
 
-/// Seconds after which the rounding of the concurrency limits moves on to the next proxy: much
-/// longer than a request takes.
+/// Seconds after which the rounding offsets of the concurrency limits move on to the next proxy. It
+/// is much longer than a request takes.
 const ROTATION_PERIOD: f64 = 5.0;
-/// Share of a backend by readiness alone: it takes the overflow where all that have a share are
-/// full.
+/// Local share that a fully ready backend gets in addition to its computed share. It lets backends
+/// without a computed share take the overflow when all backends with a share are full.
 const OVERFLOW_SHARE: f64 = 1e-6;
-/// A proxy's rounding lies in the middle of its turn's interval.
+/// Position of a rounding offset within the interval from 0 to 1 that belongs to a proxy's turn:
+/// the midpoint.
 const MIDDLE_OF_TURN: f64 = 0.5;
-/// Smallest concurrency limit of a backend.
+/// Smallest concurrency limit of a backend. With a limit of 0, a proxy that is one of many could
+/// not use most backends, and would reject requests while they are idle.
 const MIN_CONCURRENCY_LIMIT: f64 = 1.0;
 
-/// When the shares are next computed, and the fraction of the traffic that they can place.
+/// Decides when the shares are computed and whether an admitted request can be placed.
 ///
-/// It owns both, and the time of the proxy's first event, from which slow-start quotas grow. The
-/// shares themselves are kept with the backends.
+/// Owns the time of the last computation, the fraction of the traffic that the backends may be
+/// given, and the time of the proxy's first event, from which slow-start quotas grow. The shares
+/// themselves are stored with the backends.
 pub(crate) struct ShareSchedule {
-    /// Shortest time between two regular computations. One is made at the first event after it; a
-    /// change of the endpoint list causes another at once.
+    /// Shortest time between two regular computations. The first event after it triggers one. A
+    /// change of the endpoint list triggers a computation without waiting for it.
     interval: Micros,
-    /// When they were last computed.
+    /// When the shares were last computed; `Time(0)` before the first computation.
     computed_at: Time,
-    /// Fraction of the traffic that the backends may be given.
+    /// Fraction of this proxy's traffic that the backends may be given.
     placeable_fraction: f64,
-    /// When this proxy's first event came.
+    /// When this proxy handled its first event.
     started_at: Option<Time>,
 }
 
 impl ShareSchedule {
-    /// Shares that were never computed.
+    /// Creates the schedule of shares that have not been computed yet.
     pub fn new(config: &Config) -> ShareSchedule {
-        // No response is known to be late before a latency objective is over: estimates change no
-        // faster.
+        // A response is known to be late only when its latency objective is over, so the estimates
+        // do not change faster than the shortest objective.
         let objectives = config.classes.iter().map(|class| class.latency_objective);
         ShareSchedule {
             interval: objectives.min().unwrap_or_default(),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Records an event: the first one is this proxy's start.
+    /// Records an event. The time of the first event counts as the start of this proxy.
     pub fn record_event(&mut self, now: Time) {
         self.started_at.get_or_insert(now);
     }
@@ -60,32 +62,36 @@
         self.interval
     }
 
-    /// Whether the shares are to be computed again.
+    /// Whether a regular computation of the shares is due.
     pub fn are_due(&self, now: Time) -> bool {
         now - self.computed_at >= self.interval
     }
 
-    /// Begins a computation; returns the time since the last one, s. Before the first one, that is
-    /// the time since the origin of the host's clock.
+    /// Begins a computation; returns the seconds since the previous one. For the first computation
+    /// these are the seconds since the origin of the host's clock.
     pub fn begin_computation(&mut self, now: Time) -> f64 {
         let elapsed = now - self.computed_at;
         self.computed_at = now;
         elapsed.secs()
     }
 
-    /// Ends a computation with the fraction of the traffic that the backends may be given.
+    /// Ends a computation that found that the backends may be given `placeable_fraction` of the
+    /// traffic.
     pub fn end_computation(&mut self, placeable_fraction: f64) {
         self.placeable_fraction = placeable_fraction;
     }
 
-    /// Whether an admitted request can be placed. Where backends in slow start are held to less
-    /// than their shares, no other backend can take the rest; chance decides whose requests that
-    /// is. If nothing can be placed at all, requests wait in the queue instead.
+    /// Whether an admitted request can be placed, decided at random with the probability
+    /// `placeable_fraction`.
+    ///
+    /// Where quotas hold backends in slow start below their fair shares, no other backend can take
+    /// the difference, so that fraction of the requests cannot be placed. If the backends may be
+    /// given no traffic at all, this is true for every request, and the requests wait in the queue.
     pub fn can_place(&self, rng: &mut Rng) -> bool {
         self.placeable_fraction <= 0.0 || rng.unit() <= self.placeable_fraction
     }
 
-    /// The fraction of an overload window that this proxy has been running.
+    /// Time that this proxy has been running, as a fraction of the overload window, at most 1.
     pub fn window_fraction(&self, now: Time, window: Micros) -> f64 {
         match self.started_at {
             Some(started_at) => ((now - started_at).secs() / window.secs()).min(1.0),
@@ -94,7 +100,7 @@
     }
 }
 
-/// Inputs of the allocations that are the same for all backends.
+/// The inputs of the allocations that are the same for all backends.
 pub(crate) struct SharePlan<'a> {
     /// The time of the computation.
     pub now: Time,
@@ -102,15 +108,15 @@
     pub peers: Peers,
     /// This proxy's place among them.
     pub replica: Replica,
-    /// The factors on the shares of each zone.
+    /// The factors on the shares of the backends in each zone.
     pub zone_factors: ZoneFactors,
     /// The quotas of backends in slow start.
     pub slow_start: SlowStartPlan<'a>,
 }
 
 impl SharePlan<'_> {
-    /// A backend's part of this proxy's traffic and its limits: its machine type's share by
-    /// readiness and zone.
+    /// The share and the limits of a backend. Its fair share is its part of the machine type's
+    /// share in proportion to its readiness, multiplied by the factor of its zone.
     pub fn allocation(
         &self,
         id: BackendId,
@@ -129,9 +135,17 @@
         }
     }
 
-    /// Attempts of this proxy that a backend may have in flight. Half of the capacity goes by the
-    /// zone's factor, half evenly. With many proxies, the part of each is below one attempt. Taking
-    /// turns keeps the sum at the target, where one attempt each would overload all backends.
+    /// The number of attempts that this proxy may have in flight on a backend: its part of the
+    /// target, of which half is divided by the zone factors and half evenly.
+    ///
+    /// The part is a fraction, which some proxies round up and others round down. The proxies take
+    /// turns, so that the sum over all proxies stays at the target; if all rounded up, the backends
+    /// would be overloaded.
+    ///
+    /// With many proxies the part is below one attempt, and the limit is
+    /// [`MIN_CONCURRENCY_LIMIT`]. One attempt of each proxy on each backend would overload all
+    /// backends: [`ConcurrencyLimits`](super::ConcurrencyLimits) limits the attempts of each proxy
+    /// on all backends together.
     fn concurrency_limit(&self, id: BackendId, readiness: f64, zone_factor: f64) -> f64 {
         let own_part = self.peers.own_concurrency(readiness);
         let part = own_part * half_by_zone(zone_factor);
@@ -139,8 +153,9 @@
         limit.max(MIN_CONCURRENCY_LIMIT)
     }
 
-    /// What is added before a backend's limit is rounded down, from 0 to 1: over all proxies it is
-    /// evenly spread, and it passes from proxy to proxy with time.
+    /// The offset, from 0 to 1, that is added to a backend's limit before it is rounded down. The
+    /// offsets of all proxies are evenly distributed, and they move from proxy to proxy every
+    /// [`ROTATION_PERIOD`].
     fn rounding(&self, id: BackendId) -> f64 {
         let Replica { index, count } = self.replica;
         let rotation = self.now.0 / Micros::from_secs(ROTATION_PERIOD).0;
--- a/crates/balancer/src/routing/zone_affinity.rs
+++ b/crates/balancer/src/routing/zone_affinity.rs
@@ -1,24 +1,28 @@
-//! Zone affinity: where crossing zones costs, traffic stays in its zone as far as every backend
-//! gets the same share. A zone with more traffic than capacity sends the rest to zones with spare
-//! capacity.
+//! Zone affinity: where crossing zones has a cost, traffic stays in its own zone as far as possible
+//! without giving some backends more than their share. A zone with more traffic than capacity sends
+//! the excess to zones with spare capacity.
+//!
+//! Each proxy sends to a zone in proportion to the zone's capacity, multiplied by the zone's
+//! factor. The factor is the fraction of the proxy's traffic that the zone should get, divided by
+//! the zone's fraction of the capacity.
 
 use crate::backends::BackendTable;
 use crate::estimation::EPSILON;
 use crate::{Config, ZoneId};
 use std::collections::BTreeMap;
 
-/// The factor of zones that make no difference.
+/// The factor that leaves the shares of a zone's backends unchanged.
 const NEUTRAL_FACTOR: f64 = 1.0;
 
-/// The factors on the shares of the backends of each zone.
+/// The factors on the shares of the backends in each zone.
 #[derive(Default)]
 pub(crate) struct ZoneFactors {
-    /// Empty where zones make no difference.
+    /// Empty if traffic does not prefer its own zone.
     by_zone: BTreeMap<ZoneId, f64>,
 }
 
 impl ZoneFactors {
-    /// The factors for this proxy's zone and the present shares of the backends.
+    /// Computes the factors for this proxy's zone and the current shares of the backends.
     pub fn new(config: &Config, backends: &BackendTable) -> ZoneFactors {
         if !prefers_own_zone(config, backends) {
             return ZoneFactors::default();
@@ -46,14 +50,16 @@
         ZoneFactors { by_zone }
     }
 
-    /// The factor of a zone.
+    /// The factor of a zone; neutral if the zone has none.
     pub fn get(&self, zone: ZoneId) -> f64 {
         self.by_zone.get(&zone).copied().unwrap_or(NEUTRAL_FACTOR)
     }
 }
 
-/// Whether traffic is to stay in its zone: crossing zones costs, all zones have the same traffic,
-/// and the list names no more zones than are configured, for nobody knows the traffic of others.
+/// Whether traffic prefers its own zone. Crossing zones must have a cost. The factors also assume
+/// that all zones have the same traffic: the number of proxies must be a multiple of the number of
+/// zones, and the endpoint list must not name more zones than are configured, because the traffic
+/// of an additional zone is unknown.
 fn prefers_own_zone(config: &Config, backends: &BackendTable) -> bool {
     let has_equal_traffic = config.proxy_count % config.zone_count == 0;
     if config.cross_zone_cost <= 0.0 || !has_equal_traffic {
@@ -64,7 +70,7 @@
     zones.len() <= config.zone_count as usize
 }
 
-/// The fraction of the traffic that the usable backends of each zone can take.
+/// The fraction of the traffic that the backends of each zone with a readiness above 0 can take.
 fn capacity_shares(backends: &BackendTable) -> BTreeMap<ZoneId, f64> {
     let mut shares: BTreeMap<ZoneId, f64> = BTreeMap::new();
     for (_, backend) in backends.iter() {
@@ -77,7 +83,7 @@
     shares
 }
 
-/// What a zone can take beyond its own traffic, in multiples of the traffic of one zone.
+/// The capacity of a zone beyond its own traffic, in multiples of the traffic of one zone.
 fn spare_capacity(capacity_share: f64, zone_count: f64) -> f64 {
     (capacity_share * zone_count - 1.0).max(0.0)
 }
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,4 +1,4 @@
-//! Deterministic subsetting: which backends of a large endpoint list this proxy uses.
+//! Deterministic subsetting: selects the backends of a large endpoint list that this proxy uses.
 //!
 //! If every proxy of a large fleet used every backend, a proxy would send a request to the same
 //! backend only every few minutes. It would have no open connection to most backends, would not
@@ -6,12 +6,12 @@
 //! list.
 //!
 //! Proxies with consecutive indexes form a round. The proxies of a round divide the list among
-//! themselves, and the next round divides it in another order. So every backend is used by one
-//! proxy of each round; the last round may be incomplete. The order of a division follows from a
-//! hash of the backend ids. When a backend joins or leaves, the bounds of the subsets move by one
-//! position at most, and only in the backend's zone and machine type.
+//! themselves, and each round orders the list differently before the division. So every backend is
+//! used by one proxy of each round, except that the last round may be incomplete. The order is that
+//! of a hash of the backend ids and the round. When a backend joins or leaves, the bounds of the
+//! subsets move by at most one position, and only in the backend's zone and machine type.
 //!
-//! - `subset_count` decides how many subsets there are,
+//! - `subset_count` decides how many subsets there are.
 //! - `groups` keeps the backends in the order in which they are divided.
 
 mod groups;
@@ -25,7 +25,7 @@
 /// An update of the endpoints that this proxy uses.
 #[derive(Debug, PartialEq)]
 pub(crate) struct SubsetUpdate {
-    /// How `endpoints` relate to the endpoints used so far.
+    /// The kind of update: whether `endpoints` is the complete subset or only its changes.
     pub update: EndpointUpdate,
     /// The entries of the update.
     pub endpoints: Vec<Endpoint>,
@@ -34,16 +34,16 @@
 /// This proxy's place among the proxies that use the same backends.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Replica {
-    /// This proxy's number among them, from 0.
+    /// This proxy's index among them, from 0.
     pub index: u64,
-    /// How many there are.
+    /// The number of these proxies, this proxy included.
     pub count: u64,
 }
 
 /// The complete endpoint list and this proxy's subset of it.
 ///
-/// It owns the list and the order in which the list is divided. It takes the configuration, which
-/// must be the same for each call, the updates of the list and the time as arguments.
+/// Owns the list and the order in which the list is divided. Every call must pass the same
+/// configuration.
 pub(crate) struct Subset {
     subset_count: SubsetCount,
     /// The complete list.
@@ -53,7 +53,7 @@
 }
 
 impl Subset {
-    /// An empty list, which is not divided.
+    /// Creates an empty list, which is not divided.
     pub fn new() -> Subset {
         Subset {
             subset_count: SubsetCount::new(),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// How many proxies use each of this proxy's backends on average, this proxy included.
+    /// The average number of proxies that use each of this proxy's backends, this proxy included.
     pub fn proxies_per_backend(&self, config: &Config) -> f64 {
         f64::from(config.proxy_count) / f64::from(self.subset_count.get())
     }
@@ -76,6 +76,7 @@
     }
 
     /// Applies an update of the complete list; returns the resulting update of this proxy's subset.
+    /// While the list is not divided, that is the same update.
     pub fn apply(
         &mut self,
         now: Time,
@@ -103,7 +104,8 @@
                 endpoints: list,
             };
         }
-        // A backend that has left the subset counts as removed, and only a complete list says so.
+        // A backend that has left the subset counts as removed. Only a complete list of the subset
+        // expresses that.
         let update = if update == EndpointUpdate::Cached {
             EndpointUpdate::Cached
         } else {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Whether the list is divided at all: otherwise each proxy uses the complete list.
+    /// Whether the list is divided. If not, each proxy uses the complete list.
     fn is_divided(&self) -> bool {
         self.subset_count.get() > 1
     }
@@ -146,7 +148,7 @@
         self.groups = EndpointGroups::new(division, self.endpoints.values());
     }
 
-    /// How this proxy's round divides the list.
+    /// The division of the list in this proxy's round.
     fn division(&self, config: &Config) -> Division {
         Division {
             round: config.proxy_index / self.round_size(config),
@@ -154,15 +156,16 @@
         }
     }
 
-    /// Number of proxies in a round. Where traffic prefers its own zone, a round has
-    /// `zone_count` proxies for each subset: then the proxies of each zone use all subsets equally
+    /// The number of proxies in a round. Where traffic prefers its own zone, a round has
+    /// `zone_count` proxies for each subset. The proxies of each zone then use all subsets equally
     /// often, whether their indexes are consecutive or `zone_count` apart.
     fn round_size(&self, config: &Config) -> u32 {
         self.subset_count.get() * zone_stride(config)
     }
 
-    /// How many backends count for the number of subsets. Where traffic prefers the own zone, only
-    /// the backends of that zone count, if there are any. Elsewhere all backends count.
+    /// The number of backends from which the number of subsets is computed. Where traffic prefers
+    /// its own zone, these are the backends of this proxy's zone, unless it has none. Otherwise
+    /// these are all backends.
     fn backends_to_divide(&self, config: &Config) -> usize {
         let in_own_zone = self.groups.count_in_zone(config.zone);
         let prefers_own_zone = zone_stride(config) > 1;
@@ -178,8 +181,8 @@
         let subset_index = self.subset_index(config);
         let mut members = Vec::new();
         for (key, group) in self.groups.iter() {
-            // Without the shift, all groups would give their surplus to the same subsets, and all
-            // small groups would be missing from the same subsets.
+            // Without the shift, the subsets with the lowest indexes would get the surplus backends
+            // of every group, and the other subsets would get none of the small groups.
             let own_index = (subset_index + key.index_shift(subset_count)) % subset_count;
             for position in part_of_group(group, own_index, subset_count) {
                 if let Some(endpoint) = self.endpoints.get(&position.id) {
@@ -190,7 +193,7 @@
         members
     }
 
-    /// The index of this proxy's subset in a group that is not shifted.
+    /// The index of this proxy's subset in a group whose division is not shifted.
     fn subset_index(&self, config: &Config) -> usize {
         let index_in_round = (config.proxy_index % self.round_size(config)) as usize;
         let stride = zone_stride(config) as usize;
@@ -198,8 +201,9 @@
     }
 }
 
-/// How far apart the indexes of one zone's proxies may be. It is 1 where crossing zones has no
-/// cost: zones do not matter there.
+/// The greatest distance between the indexes of successive proxies of one zone: the number of zones
+/// if the proxies are assigned to the zones in turn. It is 1 where crossing zones has no cost,
+/// since zones are then irrelevant.
 fn zone_stride(config: &Config) -> u32 {
     if config.cross_zone_cost > 0.0 {
         config.zone_count
@@ -208,14 +212,15 @@
     }
 }
 
-/// The part of a group that the subset of this index gets.
+/// The part of a group that belongs to the subset with index `subset_index`.
 fn part_of_group(
     group: &[RingPosition],
     subset_index: usize,
     subset_count: usize,
 ) -> &[RingPosition] {
-    // The first subsets have one backend more. When a backend joins or leaves, only one subset
-    // changes its size, and the bounds of the others move by one position at most.
+    // The first `surplus` subsets have one backend more than the others. When a backend joins or
+    // leaves, only one subset changes its size, and the bounds of the others move by at most one
+    // position.
     let size = group.len() / subset_count;
     let surplus = group.len() % subset_count;
     let start = subset_index * size + subset_index.min(surplus);
--- a/crates/balancer/src/subset/groups.rs
+++ b/crates/balancer/src/subset/groups.rs
@@ -1,4 +1,5 @@
-//! The backends of the endpoint list in the order in which they are divided into subsets.
+//! The backends of the endpoint list, grouped and sorted in the order in which they are divided
+//! into subsets.
 
 use crate::{BackendId, Config, Endpoint, KeyScope, MachineTypeId, ZoneId};
 use std::collections::BTreeMap;
@@ -9,34 +10,36 @@
 const SPLIT_MIX_FIRST_FACTOR: u64 = 0xbf58_476d_1ce4_e5b9;
 const SPLIT_MIX_SECOND_FACTOR: u64 = 0x94d0_49bb_1331_11eb;
 
-/// Identifies the backends that are divided together: each subset gets its part of every group.
+/// Identifies a group of backends that are divided together. Each subset gets a part of every
+/// group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct GroupKey {
     zone: ZoneId,
-    /// The machine type; where cells have to stay together, the default one for all backends.
+    /// The machine type of the backends. Where cells are kept together, it is the default machine
+    /// type for all backends, so that a cell is not split between groups.
     machine_type: MachineTypeId,
 }
 
 impl GroupKey {
-    /// By how many subsets the division of this group is shifted.
+    /// The number of subsets by which the division of this group is shifted.
     pub fn index_shift(self, subset_count: usize) -> usize {
         let hash = mix64(self.zone.0 ^ mix64(self.machine_type.0));
         hash as usize % subset_count
     }
 }
 
-/// A backend's position in its group. The order of the fields is the order of the positions: by
-/// hash, then by id.
+/// A backend's position in its group. The derived order compares the fields in their order here, so
+/// positions are sorted by hash, then by id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RingPosition {
     hash: u64,
     pub id: BackendId,
 }
 
-/// How the proxies of one round divide the endpoint list.
+/// The way in which the proxies of one round divide the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Division {
-    /// Index of the round; each round has its own order.
+    /// Index of the round. Each round sorts the backends differently.
     pub round: u32,
     /// Whether the backends of a cell have adjacent positions.
     pub keeps_cells_together: bool,
@@ -68,8 +71,9 @@
     }
 }
 
-/// Whether cells have to stay together: requests of some class may be repeated only inside a cell,
-/// so a proxy needs several backends of each cell that it uses.
+/// Whether the backends of a cell must be kept together. This is so if the requests of some class
+/// may be repeated only inside a cell: a proxy then needs several backends of each cell that it
+/// uses.
 pub(super) fn requires_whole_cells(config: &Config) -> bool {
     config
         .classes
@@ -79,15 +83,15 @@
 
 /// The groups of all backends.
 ///
-/// It owns the positions of the backends, sorted in each group. It takes the endpoints and the
-/// division as arguments; the division must be the one with which the groups were built.
+/// Owns the positions of the backends, sorted in each group. Every call must pass the division with
+/// which the groups were built.
 #[derive(Default)]
 pub(super) struct EndpointGroups {
     groups: BTreeMap<GroupKey, Vec<RingPosition>>,
 }
 
 impl EndpointGroups {
-    /// Divides the endpoints into groups and sorts these.
+    /// Divides the endpoints into groups and sorts each group.
     pub fn new<'a>(
         division: Division,
         endpoints: impl Iterator<Item = &'a Endpoint>,
@@ -103,7 +107,7 @@
         EndpointGroups { groups }
     }
 
-    /// Adds an endpoint that is not in its group yet.
+    /// Adds an endpoint, which must not be in its group yet.
     pub fn insert(&mut self, division: Division, endpoint: &Endpoint) {
         let position = division.ring_position(endpoint);
         let group = self.groups.entry(division.group_key(endpoint)).or_default();
@@ -119,7 +123,7 @@
         }
     }
 
-    /// How many backends of a zone there are.
+    /// The number of backends in a zone.
     pub fn count_in_zone(&self, zone: ZoneId) -> usize {
         self.groups
             .iter()
@@ -128,13 +132,14 @@
             .sum()
     }
 
-    /// All groups with their backends, in the order of the keys.
+    /// All groups with the positions of their backends, in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (&GroupKey, &Vec<RingPosition>)> {
         self.groups.iter()
     }
 }
 
-/// Spreads the bits of a number over all 64 bits: a variant of the finalizer of `SplitMix64`.
+/// Hashes a 64-bit number so that each input bit affects all output bits, by a variant of the
+/// finalizer of `SplitMix64`.
 pub(super) fn mix64(number: u64) -> u64 {
     let first = (number ^ (number >> 30))
         .wrapping_add(SPLIT_MIX_INCREMENT)
--- a/crates/balancer/src/subset/groups/tests.rs
+++ b/crates/balancer/src/subset/groups/tests.rs
@@ -10,7 +10,8 @@
     keeps_cells_together: true,
 };
 
-/// Backend number `number`, of two zones, three machine types and cells of four backends.
+/// The backend with this number. The backends are in two zones and have three machine types; each
+/// cell has four backends.
 fn endpoint(number: u64) -> Endpoint {
     Endpoint {
         id: BackendId(number),
--- a/crates/balancer/src/subset/subset_count.rs
+++ b/crates/balancer/src/subset/subset_count.rs
@@ -2,28 +2,28 @@
 
 use crate::{Micros, Time};
 
-/// Fewest backends in a subset. A proxy that sends about ten requests a second uses each of them
-/// every half minute. A subset of this size keeps enough backends if a rack or a tenth of the
+/// Fewest backends in a subset. A proxy that sends about ten requests per second uses each backend
+/// of such a subset every half minute. The subset keeps enough backends if a rack or a tenth of the
 /// fleet fails, and in a large fleet it has backends of all zones and machine types.
 pub(super) const MIN_SUBSET_SIZE: f64 = 240.0;
-/// Fewest proxies that use each backend. With fewer, a backend's load would depend on which of the
-/// proxies have much traffic.
+/// Fewest proxies that use each backend. With fewer, a backend's load would depend too much on the
+/// traffic of single proxies.
 const MIN_PROXIES_PER_BACKEND: u32 = 8;
-/// How long the number of subsets is kept while their size is tolerated, 300 s. A fleet near a
-/// limit would otherwise alternate between two numbers, and each change replaces most connections.
-/// With a longer time, proxies that started at different times would use different numbers for
-/// longer.
+/// The time for which the number of subsets is kept while the size of the subsets is tolerated,
+/// 300 s. Without it, a fleet whose size is near a limit would alternate between two numbers, and
+/// each change replaces most connections. If it were longer, proxies that started at different
+/// times would use different numbers for longer.
 pub(super) const MIN_RESHARD_INTERVAL: Micros = Micros(300_000_000);
-/// Factor by which the size of the subsets may leave its range during that time.
+/// The factor by which the size of the subsets may exceed or fall below its range during
+/// [`MIN_RESHARD_INTERVAL`].
 const SIZE_TOLERANCE: f64 = 1.25;
-/// The factor between two successive numbers of subsets. The sizes of the subsets have a range of
-/// the same factor.
+/// The factor between two successive numbers of subsets. The largest intended size of a subset is
+/// [`MIN_SUBSET_SIZE`] multiplied by the same factor.
 const COUNT_STEP: u32 = 2;
 
 /// The number of subsets: a power of two, and 1 while the list is not divided.
 ///
-/// It owns the number and the time of its last change. It takes the time, the number of backends
-/// and that of proxies as arguments.
+/// Owns the number and the time of its last change.
 pub(super) struct SubsetCount {
     current: u32,
     changed_at: Time,
@@ -41,7 +41,7 @@
         self.current
     }
 
-    /// Adapts the number to the size of the fleet; returns whether it has changed.
+    /// Adapts the number of subsets to the size of the fleet; returns whether it has changed.
     pub fn update(&mut self, now: Time, backend_count: usize, proxy_count: u32) -> bool {
         let backend_count = backend_count as f64;
         if self.must_be_kept(now, backend_count) {
@@ -56,7 +56,8 @@
         true
     }
 
-    /// Whether the number changed so recently that it stays as long as the size is tolerated.
+    /// Whether the number of subsets changed recently and the size of the subsets is tolerated, so
+    /// that the number stays.
     fn must_be_kept(&self, now: Time, backend_count: f64) -> bool {
         let min_size = MIN_SUBSET_SIZE / SIZE_TOLERANCE;
         let max_size = MIN_SUBSET_SIZE * f64::from(COUNT_STEP) * SIZE_TOLERANCE;
@@ -67,8 +68,8 @@
     }
 }
 
-/// The largest number of subsets for which there are enough proxies and backends. Proxies that
-/// know the same list get the same number.
+/// The largest number of subsets for which there are enough proxies and backends. Proxies with the
+/// same endpoint list compute the same number.
 fn best_subset_count(backend_count: f64, proxy_count: u32) -> u32 {
     let mut best = 1;
     loop {
--- a/crates/balancer/src/subset/subset_count/tests.rs
+++ b/crates/balancer/src/subset/subset_count/tests.rs
@@ -3,7 +3,7 @@
 const PROXIES: u32 = 1_100;
 const START: Time = Time(1_000_000_000);
 
-/// The number of subsets of a fleet that has just been seen first.
+/// The number of subsets that a proxy chooses at its first update.
 fn first_count(backend_count: usize, proxy_count: u32) -> u32 {
     let mut count = SubsetCount::new();
     count.update(START, backend_count, proxy_count);
@@ -36,13 +36,25 @@
 fn a_size_out_of_tolerance_changes_the_number_at_once() {
     let mut count = SubsetCount::new();
     assert!(count.update(START, 480, PROXIES));
-    assert!(!count.update(START, 384, PROXIES), "192 backends a subset");
-    assert!(count.update(START, 383, PROXIES), "less than 192");
+    assert!(
+        !count.update(START, 384, PROXIES),
+        "192 backends per subset"
+    );
+    assert!(
+        count.update(START, 383, PROXIES),
+        "less than 192 backends per subset"
+    );
     assert_eq!(count.get(), 1);
 
     let mut count = SubsetCount::new();
     assert!(count.update(START, 480, PROXIES));
-    assert!(!count.update(START, 1_199, PROXIES), "less than 600");
-    assert!(count.update(START, 1_200, PROXIES), "600 backends a subset");
+    assert!(
+        !count.update(START, 1_199, PROXIES),
+        "less than 600 backends per subset"
+    );
+    assert!(
+        count.update(START, 1_200, PROXIES),
+        "600 backends per subset"
+    );
     assert_eq!(count.get(), 4);
 }
--- a/crates/balancer/src/subset/tests.rs
+++ b/crates/balancer/src/subset/tests.rs
@@ -10,8 +10,8 @@
 const ZONES: u64 = 8;
 const NOW: Time = Time(1_000_000_000);
 
-/// Backend number `number`. Cells have four backends. The machine types have a half, a third and a
-/// sixth of all backends.
+/// The backend with this number. Each cell has four backends. Half of all backends have machine
+/// type 0, a third have type 1 and a sixth have type 2.
 fn backend(number: u64) -> Endpoint {
     let machine_type = [0, 1, 0, 2, 0, 1][(number / 7 % 6) as usize];
     Endpoint {
@@ -37,14 +37,14 @@
     }
 }
 
-/// A subset after its first snapshot, and the ids of its members.
+/// Creates a subset and applies a snapshot; returns the subset and the ids of its members.
 fn after_snapshot(config: &Config, list: &[Endpoint]) -> (Subset, BTreeSet<BackendId>) {
     let mut subset = Subset::new();
     let applied = subset.apply(NOW, config, EndpointUpdate::Snapshot, list.to_vec());
     (subset, ids(&applied.endpoints))
 }
 
-/// Applies a change of one entry; returns the ids of the members after it.
+/// Applies a delta with one entry; returns the ids of the members after it.
 fn change_one(subset: &mut Subset, config: &Config, entry: Endpoint) -> BTreeSet<BackendId> {
     let applied = subset.apply(NOW, config, EndpointUpdate::Delta, vec![entry]);
     ids(&applied.endpoints)
@@ -67,8 +67,8 @@
         .collect()
 }
 
-/// The members of each proxy's subset. Proxies of one round and zone share their groups, which are
-/// built once.
+/// The members of each proxy's subset. Proxies of the same round and zone have the same groups,
+/// which are built once.
 fn members_of_all(
     configs: impl Iterator<Item = Config>,
     list: &[Endpoint],
@@ -95,7 +95,7 @@
     most: u32,
 }
 
-/// How many proxies use each backend, by their subsets.
+/// Counts the proxies that use each backend according to their subsets.
 fn proxies_per_backend(list: &[Endpoint], subsets: Vec<BTreeSet<BackendId>>) -> UseRange {
     let mut proxies: BTreeMap<BackendId, u32> = BTreeMap::new();
     for endpoint in list {
@@ -153,10 +153,10 @@
             &list,
         );
         let UseRange { least, most } = proxies_per_backend(&list, subsets);
-        println!("{proxies} proxies, {count} backends: each is used by {least} to {most}");
+        println!("{proxies} proxies, {count} backends: {least} to {most} proxies use each backend");
         assert!(
             least >= 8 && most - least <= 1,
-            "{proxies} proxies, {count} backends: {least} to {most}"
+            "{proxies} proxies, {count} backends: {least} to {most} proxies use each backend"
         );
     }
 }
@@ -184,12 +184,15 @@
             let expected = fraction * size;
             assert!(
                 (count - expected).abs() <= 8.0,
-                "type {number}: {count}, not {expected}"
+                "type {number}: {count} members, expected {expected}"
             );
         }
         for zone in 0..ZONES {
             let count = count_of(&|endpoint| endpoint.zone == ZoneId(zone));
-            assert!((count - size / 8.0).abs() <= 4.0, "zone {zone}: {count}");
+            assert!(
+                (count - size / 8.0).abs() <= 4.0,
+                "zone {zone}: {count} members"
+            );
         }
     }
 }
@@ -224,12 +227,12 @@
     assert_ne!(
         grown.subset_count.get(),
         64,
-        "the number of subsets stays for a while"
+        "the number of subsets is kept at first"
     );
     let later = NOW + MIN_RESHARD_INTERVAL;
     let applied = grown.apply(later, &config, EndpointUpdate::Delta, vec![backend(0)]);
     let (_, expected) = after_snapshot(&config, &fleet(BACKENDS));
-    assert!(ids(&applied.endpoints) == expected, "another subset");
+    assert!(ids(&applied.endpoints) == expected, "the subsets differ");
 }
 
 #[test]
@@ -248,7 +251,11 @@
         change_one(&mut subset, &config, entry);
         subset_counts.insert(subset.subset_count.get());
     }
-    assert_eq!(subset_counts.len(), 1, "{subset_counts:?}");
+    assert_eq!(
+        subset_counts.len(),
+        1,
+        "numbers of subsets: {subset_counts:?}"
+    );
     for number in 0..limit / 2 {
         change_one(&mut subset, &config, removed(number));
     }
@@ -279,7 +286,7 @@
         .count();
     assert!(
         alone * 10 <= members.len(),
-        "{alone} of {} are alone from their cell",
+        "{alone} of {} members are the only ones from their cell",
         members.len()
     );
     let configs = (0..PROXIES).map(|proxy_index| Config {
@@ -288,15 +295,18 @@
     });
     let subsets = members_of_all(configs, &list);
     let UseRange { least, most } = proxies_per_backend(&list, subsets);
-    assert!(most - least <= 1, "{least} to {most}");
+    assert!(
+        most - least <= 1,
+        "{least} to {most} proxies use each backend"
+    );
 }
 
-/// Which proxies are in which zone.
+/// The assignment of the proxies to zones.
 #[derive(Clone, Copy, Debug)]
 enum ZoneLayout {
     /// The proxies of a zone have consecutive indexes.
     Consecutive,
-    /// Every eighth proxy is in the same zone.
+    /// The indexes of the proxies of a zone are eight apart.
     Interleaved,
 }
 
@@ -310,7 +320,8 @@
     }
 }
 
-/// The members of each proxy's subset that are in the proxy's own zone.
+/// The members of each proxy's subset that are in the proxy's own zone, where crossing zones has a
+/// cost.
 fn members_in_own_zone(layout: ZoneLayout, list: &[Endpoint]) -> Vec<BTreeSet<BackendId>> {
     let endpoints = by_id(list);
     let configs = (0..PROXIES).map(|index| Config {
@@ -336,7 +347,10 @@
             "a zone's subset has only {smallest} members"
         );
         let UseRange { least, most } = proxies_per_backend(&list, subsets);
-        println!("{layout:?}: each is used by {least} to {most} of its zone");
-        assert!(least >= 15 && most <= 19, "{layout:?}: {least} to {most}");
+        println!("{layout:?}: {least} to {most} proxies of its zone use each backend");
+        assert!(
+            least >= 15 && most <= 19,
+            "{layout:?}: {least} to {most} proxies of its zone use each backend"
+        );
     }
 }
