--- a/crates/balancer/src/estimation/estimators/tests.rs
+++ b/crates/balancer/src/estimation/estimators/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_running_mean_weighs_its_first_samples_equally() {
+fn a_running_mean_weights_its_first_samples_equally() {
     let mut mean = RunningMean::default();
     for sample in [1.0, 2.0, 6.0] {
         mean.add(sample);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_rate_falls_while_nothing_happens() {
+fn a_rate_decays_exponentially_without_events() {
     let mut rate = RateEstimator::default();
     for step in 0..2_000 {
         rate.add(millis_after_start(step * 10), 0.5);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_time_weighted_mean_counts_a_level_by_how_long_it_lasted() {
+fn a_time_weighted_mean_weights_each_count_by_its_duration() {
     let mut mean = TimeWeightedMean::default();
     mean.advance(START, 0.0);
     mean.advance(millis_after_start(1_000), 10.0);
--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -92,9 +92,9 @@
     /// mean work would have had in its place, so that samples do not depend on the mix of classes.
     pub fn record(&mut self, class: ClassId, latency: Micros) -> f64 {
         let seconds = latency.secs().max(MIN_LATENCY);
-        let own = &mut self.classes[class.0].observed;
-        own.add(seconds);
+        let class_mean = &mut self.classes[class.0].observed;
+        class_mean.add(seconds);
         self.overall.add(seconds);
-        seconds * self.overall.value() / own.value()
+        seconds * self.overall.value() / class_mean.value()
     }
 }
--- a/crates/balancer/src/halb.rs
+++ b/crates/balancer/src/halb.rs
@@ -5,7 +5,7 @@
 //! split minimizes the mean latency over all requests.
 
 /// An arrival rate up to this fraction of the total speed counts as no load.
-const MIN_LOAD: f64 = 1e-6;
+const MIN_UTILIZATION: f64 = 1e-6;
 
 /// The backends of one machine type.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
             .iter()
             .map(|group| group.ready_backends * group.speed)
             .sum();
-        if rate <= total_speed * MIN_LOAD || total_speed <= 0.0 {
+        if rate <= total_speed * MIN_UTILIZATION || total_speed <= 0.0 {
             // As the rate approaches 0, the optimum sends all traffic to the fastest type.
             let fastest = fastest_ready(&used);
             return split_evenly(groups, |speed| speed == fastest);
--- a/crates/balancer/src/random/tests.rs
+++ b/crates/balancer/src/random/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_last_item_is_drawn_if_no_item_has_a_weight() {
+fn the_last_item_is_drawn_if_all_weights_are_zero() {
     let mut rng = Rng::new(3);
     assert_eq!(
         rng.pick_weighted(&[weighted("first", 0.0), weighted("last", 0.0)]),
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -9,11 +9,11 @@
 
 /// Standard deviations by which the momentary limit exceeds this proxy's part of the target. The
 /// number in flight is taken to be Poisson distributed: its variance equals its mean.
-const CHANCE_ALLOWANCE: f64 = 1.5;
+const MOMENTARY_LIMIT_DEVIATIONS: f64 = 1.5;
 /// The sustained limit in multiples of this proxy's part of the target. At any time some proxies
 /// exceed their part by chance; if all proxies did so together, every backend would stay
 /// overloaded.
-const SUSTAINED_FACTOR: f64 = 1.5;
+const SUSTAINED_LIMIT_FACTOR: f64 = 1.5;
 
 /// Limits how many attempts this proxy may have in flight.
 ///
@@ -46,12 +46,13 @@
 
     /// Computes the limits for backends whose readiness adds up to `readiness`.
     pub fn update(&mut self, readiness: f64, peers: Peers) {
-        let own_part = peers.own_concurrency(readiness);
-        self.momentary = own_part + CHANCE_ALLOWANCE * own_part.sqrt() + 1.0;
+        let own_concurrency = peers.own_concurrency(readiness);
+        self.momentary =
+            own_concurrency + MOMENTARY_LIMIT_DEVIATIONS * own_concurrency.sqrt() + 1.0;
         self.sustained = if peers.are_few() {
             f64::INFINITY
         } else {
-            own_part * SUSTAINED_FACTOR
+            own_concurrency * SUSTAINED_LIMIT_FACTOR
         };
     }
 
@@ -63,8 +64,9 @@
             Priority::Normal => self.momentary,
             Priority::Low => self.momentary * LOW_PRIORITY_CAPACITY_FRACTION,
         };
-        let is_high_for_long = self.recent.value() > self.sustained && in_flight >= self.sustained;
-        in_flight < limit && !is_high_for_long
+        let exceeds_sustained_limit =
+            self.recent.value() > self.sustained && in_flight >= self.sustained;
+        in_flight < limit && !exceeds_sustained_limit
     }
 }
 
--- a/crates/balancer/src/routing/concurrency_limits/tests.rs
+++ b/crates/balancer/src/routing/concurrency_limits/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_momentary_limit_allows_for_chance() {
+fn the_momentary_limit_exceeds_the_target_by_one_and_a_half_deviations_plus_one() {
     // 16 + 1.5 x 4 + 1 = 23. Low-priority requests may take half of that.
     let limits = limits();
     assert!(limits.allow(22.0, Priority::Normal));
@@ -20,20 +20,20 @@
 }
 
 #[test]
-fn the_sustained_limit_holds_once_the_mean_has_risen() {
+fn the_sustained_limit_applies_once_the_recent_mean_exceeds_it() {
     let mut limits = ConcurrencyLimits::new();
     // The part of the target is about 4 attempts: the momentary limit is 4 + 1.5 x 2 + 1 = 8, the
     // sustained limit 1.5 x 4 = 6.
     limits.update(4.0, Peers { per_backend: 4.1 });
-    let part = 4.0 / 4.1 * 4.0;
-    assert!(limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
+    let own_concurrency = 4.0 / 4.1 * 4.0;
+    assert!(limits.allow(own_concurrency * SUSTAINED_LIMIT_FACTOR, Priority::Normal));
     limits.record_in_flight(START, 7.0);
     limits.record_in_flight(START + SECOND.times(10.0), 7.0);
-    assert!(!limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
+    assert!(!limits.allow(own_concurrency * SUSTAINED_LIMIT_FACTOR, Priority::Normal));
     assert!(limits.allow(5.0, Priority::Normal));
 }
 
 #[test]
-fn nothing_is_allowed_before_the_first_update() {
+fn no_attempt_is_allowed_before_the_first_update() {
     assert!(!ConcurrencyLimits::new().allow(0.0, Priority::Normal));
 }
--- a/crates/balancer/src/routing/picker.rs
+++ b/crates/balancer/src/routing/picker.rs
@@ -112,7 +112,7 @@
         backend.is_usable()
             && backend.has_free_concurrency(priority)
             && backend.is_listed_as_ready()
-            && self.is_listing_trusted(backend)
+            && self.is_entry_trusted(backend)
             && self.retry_policy.allows_backend(backend.endpoint())
             && backend.is_within_slow_start_quota(self.now, window, self.work)
     }
@@ -120,7 +120,7 @@
     /// Whether the backend's entry in the endpoint list may be relied on. If the list is stale, the
     /// backend may have begun to drain. Its entry is still trusted if the backend served a request
     /// that was sent less than [`ACCEPTANCE_LIFETIME`] ago.
-    fn is_listing_trusted(&self, backend: &Backend) -> bool {
+    fn is_entry_trusted(&self, backend: &Backend) -> bool {
         let is_recent = |accepted: Acceptance| self.now - accepted.sent_at < ACCEPTANCE_LIFETIME;
         self.is_list_fresh || backend.health().last_acceptance().is_some_and(is_recent)
     }
--- a/crates/balancer/src/routing/slow_start_quotas.rs
+++ b/crates/balancer/src/routing/slow_start_quotas.rs
@@ -11,22 +11,22 @@
 
 /// Fraction of the overload limit that is divided among the proxies. The rest is a reserve for
 /// requests with much work and for errors of the speed estimate.
-const DIVIDED_FRACTION: f64 = 0.8;
+const DIVIDED_LIMIT_FRACTION: f64 = 0.8;
 /// Greatest fraction of its quota that a proxy plans to use. To use all of it, a request would have
 /// to be waiting whenever the quota allows one.
-const MAX_PLANNED_USE: f64 = 0.65;
+const MAX_PLANNED_QUOTA_USE: f64 = 0.65;
 /// Assumed speed of a backend whose machine type has served nothing yet, as a fraction of an even
 /// share of the fleet's traffic. It is below 1 because the measured rate may be that of a burst.
-const UNKNOWN_SPEED: f64 = 0.5;
+const UNKNOWN_SPEED_FRACTION: f64 = 0.5;
 /// Fraction of a backend's capacity that is divided evenly among the proxies. The rest is divided
 /// in proportion to the zone factors.
-const EVEN_FRACTION: f64 = 0.5;
+const EVENLY_DIVIDED_FRACTION: f64 = 0.5;
 /// The fractional part of the golden ratio, multiplied by 2^64.
-const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+const GOLDEN_RATIO_BITS: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The fractional part of the square root of two, multiplied by 2^64.
-const ROOT_OF_TWO: u64 = 0x6a09_e667_f3bc_c909;
+const SQRT_2_BITS: u64 = 0x6a09_e667_f3bc_c909;
 /// Low bits of a 64-bit number that do not fit into the 53-bit significand of an `f64`.
-const SURPLUS_BITS: u32 = 11;
+const DISCARDED_BITS: u32 = 11;
 /// Number of values that 53 bits can represent.
 const FRACTION_STEPS: f64 = (1u64 << 53) as f64;
 
@@ -81,9 +81,9 @@
                 local_share: fair_share,
             };
         }
-        let mean_part =
-            limit * DIVIDED_FRACTION / self.peers.per_backend * half_by_zone(zone_factor);
-        self.divide(mean_part, self.rank(id), fair_share)
+        let mean_quota = limit * DIVIDED_LIMIT_FRACTION / self.peers.per_backend
+            * damped_zone_factor(zone_factor);
+        self.quota_by_rank(mean_quota, self.rank(id), fair_share)
     }
 
     /// The work, in multiples of a mean request, that all proxies together may send to a backend in
@@ -105,10 +105,10 @@
     /// second.
     fn unknown_speed(&self) -> f64 {
         let fleet_rate = self.own_rate.unwrap_or(ASSUMED_RATE) * self.peers.per_backend;
-        fleet_rate / self.backend_count as f64 * UNKNOWN_SPEED
+        fleet_rate / self.backend_count as f64 * UNKNOWN_SPEED_FRACTION
     }
 
-    /// This proxy's quota if the mean over all proxies is `mean_part`, in multiples of a mean
+    /// This proxy's quota if the mean over all proxies is `mean_quota`, in multiples of a mean
     /// request.
     ///
     /// The mean is mostly below one request. It is rounded up or down by the proxy's rank, so that
@@ -116,18 +116,19 @@
     /// then stays within the limit whatever traffic arrives, even if the rate is unknown or
     /// requests are retried. Proxies that have a quota pick the backend correspondingly more
     /// often.
-    fn divide(&self, mean_part: f64, rank: f64, fair_share: f64) -> SlowStartQuota {
+    fn quota_by_rank(&self, mean_quota: f64, rank: f64, fair_share: f64) -> SlowStartQuota {
         let requests_per_window = self.requests_per_window();
-        let usable_share = MAX_PLANNED_USE * mean_part / requests_per_window.max(EPSILON);
-        let planned_share = fair_share.min(usable_share);
-        let work = (mean_part * self.window_fraction + rank).floor();
+        let max_planned_share =
+            MAX_PLANNED_QUOTA_USE * mean_quota / requests_per_window.max(EPSILON);
+        let planned_share = fair_share.min(max_planned_share);
+        let work = (mean_quota * self.window_fraction + rank).floor();
         // One request uses up a small quota, and the backend is then unavailable to this proxy for
         // the rest of the window. The local share makes up for that time. A mean quota of at least
         // one request needs no such correction.
-        let used_fraction = planned_share * requests_per_window / mean_part.max(EPSILON);
-        let closed_fraction = used_fraction * (1.0 - mean_part).max(0.0);
+        let used_fraction = planned_share * requests_per_window / mean_quota.max(EPSILON);
+        let unavailable_fraction = used_fraction * (1.0 - mean_quota).max(0.0);
         let local_share = if work > 0.0 {
-            planned_share * work / mean_part / (1.0 - closed_fraction)
+            planned_share * work / mean_quota / (1.0 - unavailable_fraction)
         } else {
             0.0
         };
@@ -149,17 +150,17 @@
     /// ranks are evenly distributed over all proxies, over the proxies of one zone or one release,
     /// and over the backends of one proxy.
     fn rank(&self, id: BackendId) -> f64 {
-        let by_replica = self.replica_index.wrapping_mul(GOLDEN_RATIO);
-        let by_backend = id.0.wrapping_mul(ROOT_OF_TWO);
+        let by_replica = self.replica_index.wrapping_mul(GOLDEN_RATIO_BITS);
+        let by_backend = id.0.wrapping_mul(SQRT_2_BITS);
         let mixed = by_replica.wrapping_add(by_backend);
-        (mixed >> SURPLUS_BITS) as f64 / FRACTION_STEPS
+        (mixed >> DISCARDED_BITS) as f64 / FRACTION_STEPS
     }
 }
 
 /// The factor on a proxy's part of a backend's capacity, of which half is divided by the zone
 /// factors and half evenly.
-pub(super) fn half_by_zone(zone_factor: f64) -> f64 {
-    EVEN_FRACTION + (1.0 - EVEN_FRACTION) * zone_factor
+pub(super) fn damped_zone_factor(zone_factor: f64) -> f64 {
+    EVENLY_DIVIDED_FRACTION + (1.0 - EVENLY_DIVIDED_FRACTION) * zone_factor
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/routing/slow_start_quotas/tests.rs
+++ b/crates/balancer/src/routing/slow_start_quotas/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_quotas_of_all_proxies_add_up_to_less_than_the_limit() {
+fn the_quotas_of_all_proxies_add_up_to_less_than_the_overload_limit() {
     let config = Config::example();
     let backend = started_at(Some(START));
     // The machine type's speed is unknown, so 20 x 300 / 200 x 0.5 = 15 requests/s are assumed. A
@@ -41,13 +41,13 @@
     let quotas = (0..PROXIES).map(|index| quota(&config, index, &backend).work);
     let sum: f64 = quotas.sum();
     assert!(
-        (sum - limit * DIVIDED_FRACTION).abs() < 2.0,
+        (sum - limit * DIVIDED_LIMIT_FRACTION).abs() < 2.0,
         "the quotas add up to {sum}, the overload limit is {limit}"
     );
 }
 
 #[test]
-fn a_proxy_without_a_quota_plans_the_same_and_picks_nothing() {
+fn a_proxy_without_a_quota_has_the_same_planned_share_and_no_local_share() {
     let config = Config::example();
     let backend = started_at(Some(START));
     let quotas: Vec<_> = (0..PROXIES)
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn there_is_no_quota_after_slow_start_or_without_a_window() {
+fn the_quota_is_infinite_after_slow_start_and_without_an_overload_window() {
     let mut config = Config::example();
     let long_ago = quota(&config, 0, &started_at(None));
     assert_eq!(long_ago.work, f64::INFINITY);
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -1,6 +1,6 @@
 //! The traffic shares: when they are computed, and the share and the limits that each backend gets.
 
-use super::slow_start_quotas::{half_by_zone, SlowStartPlan};
+use super::slow_start_quotas::{damped_zone_factor, SlowStartPlan};
 use super::zone_affinity::ZoneFactors;
 use crate::backends::{Allocation, Backend, MachineType};
 use crate::peers::Peers;
@@ -10,13 +10,13 @@
 
 /// Seconds after which the rounding offsets of the concurrency limits move on to the next proxy. It
 /// is much longer than a request takes.
-const ROTATION_PERIOD: f64 = 5.0;
+const ROTATION_PERIOD_SECS: f64 = 5.0;
 /// Local share that a fully ready backend gets in addition to its computed share. It lets backends
 /// without a computed share take the overflow when all backends with a share are full.
 const OVERFLOW_SHARE: f64 = 1e-6;
-/// Position of a rounding offset within the interval from 0 to 1 that belongs to a proxy's turn:
-/// the midpoint.
-const MIDDLE_OF_TURN: f64 = 0.5;
+/// The turns divide the range from 0 to 1 into intervals of equal length. The rounding offset of a
+/// proxy is the midpoint of the interval of its turn.
+const TURN_MIDPOINT: f64 = 0.5;
 /// Smallest concurrency limit of a backend. With a limit of 0, a proxy that is one of many could
 /// not use most backends, and would reject requests while they are idle.
 const MIN_CONCURRENCY_LIMIT: f64 = 1.0;
@@ -147,19 +147,19 @@
     /// backends: [`ConcurrencyLimits`](super::ConcurrencyLimits) limits the attempts of each proxy
     /// on all backends together.
     fn concurrency_limit(&self, id: BackendId, readiness: f64, zone_factor: f64) -> f64 {
-        let own_part = self.peers.own_concurrency(readiness);
-        let part = own_part * half_by_zone(zone_factor);
-        let limit = (part + self.rounding(id)).floor();
+        let own_concurrency = self.peers.own_concurrency(readiness);
+        let fractional_limit = own_concurrency * damped_zone_factor(zone_factor);
+        let limit = (fractional_limit + self.rounding_offset(id)).floor();
         limit.max(MIN_CONCURRENCY_LIMIT)
     }
 
     /// The offset, from 0 to 1, that is added to a backend's limit before it is rounded down. The
     /// offsets of all proxies are evenly distributed, and they move from proxy to proxy every
-    /// [`ROTATION_PERIOD`].
-    fn rounding(&self, id: BackendId) -> f64 {
+    /// [`ROTATION_PERIOD_SECS`].
+    fn rounding_offset(&self, id: BackendId) -> f64 {
         let Replica { index, count } = self.replica;
-        let rotation = self.now.0 / Micros::from_secs(ROTATION_PERIOD).0;
+        let rotation = self.now.0 / Micros::from_secs(ROTATION_PERIOD_SECS).0;
         let turn = id.0.wrapping_add(index).wrapping_add(rotation) % count;
-        (turn as f64 + MIDDLE_OF_TURN) / count as f64
+        (turn as f64 + TURN_MIDPOINT) / count as f64
     }
 }
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -18,7 +18,7 @@
 mod subset_count;
 
 use crate::{BackendId, BackendState, Config, Endpoint, EndpointUpdate, Time};
-use groups::{requires_whole_cells, Division, EndpointGroups, RingPosition};
+use groups::{must_keep_cells_together, Division, EndpointGroups, HashPosition};
 use std::collections::BTreeMap;
 use subset_count::SubsetCount;
 
@@ -152,7 +152,7 @@
     fn division(&self, config: &Config) -> Division {
         Division {
             round: config.proxy_index / self.round_size(config),
-            keeps_cells_together: requires_whole_cells(config),
+            keeps_cells_together: must_keep_cells_together(config),
         }
     }
 
@@ -214,10 +214,10 @@
 
 /// The part of a group that belongs to the subset with index `subset_index`.
 fn part_of_group(
-    group: &[RingPosition],
+    group: &[HashPosition],
     subset_index: usize,
     subset_count: usize,
-) -> &[RingPosition] {
+) -> &[HashPosition] {
     // The first `surplus` subsets have one backend more than the others. When a backend joins or
     // leaves, only one subset changes its size, and the bounds of the others move by at most one
     // position.
--- a/crates/balancer/src/subset/groups.rs
+++ b/crates/balancer/src/subset/groups.rs
@@ -31,7 +31,7 @@
 /// A backend's position in its group. The derived order compares the fields in their order here, so
 /// positions are sorted by hash, then by id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct RingPosition {
+pub(super) struct HashPosition {
     hash: u64,
     pub id: BackendId,
 }
@@ -58,13 +58,13 @@
         }
     }
 
-    fn ring_position(self, endpoint: &Endpoint) -> RingPosition {
+    fn hash_position(self, endpoint: &Endpoint) -> HashPosition {
         let hashed_id = if self.keeps_cells_together {
             endpoint.cell.0
         } else {
             endpoint.id.0
         };
-        RingPosition {
+        HashPosition {
             hash: mix64(hashed_id ^ mix64(u64::from(self.round))),
             id: endpoint.id,
         }
@@ -74,7 +74,7 @@
 /// Whether the backends of a cell must be kept together. This is so if the requests of some class
 /// may be repeated only inside a cell: a proxy then needs several backends of each cell that it
 /// uses.
-pub(super) fn requires_whole_cells(config: &Config) -> bool {
+pub(super) fn must_keep_cells_together(config: &Config) -> bool {
     config
         .classes
         .iter()
@@ -87,7 +87,7 @@
 /// which the groups were built.
 #[derive(Default)]
 pub(super) struct EndpointGroups {
-    groups: BTreeMap<GroupKey, Vec<RingPosition>>,
+    groups: BTreeMap<GroupKey, Vec<HashPosition>>,
 }
 
 impl EndpointGroups {
@@ -96,10 +96,10 @@
         division: Division,
         endpoints: impl Iterator<Item = &'a Endpoint>,
     ) -> EndpointGroups {
-        let mut groups: BTreeMap<GroupKey, Vec<RingPosition>> = BTreeMap::new();
+        let mut groups: BTreeMap<GroupKey, Vec<HashPosition>> = BTreeMap::new();
         for endpoint in endpoints {
             let group = groups.entry(division.group_key(endpoint)).or_default();
-            group.push(division.ring_position(endpoint));
+            group.push(division.hash_position(endpoint));
         }
         for group in groups.values_mut() {
             group.sort_unstable();
@@ -109,7 +109,7 @@
 
     /// Adds an endpoint, which must not be in its group yet.
     pub fn insert(&mut self, division: Division, endpoint: &Endpoint) {
-        let position = division.ring_position(endpoint);
+        let position = division.hash_position(endpoint);
         let group = self.groups.entry(division.group_key(endpoint)).or_default();
         let index = group.partition_point(|other| *other < position);
         group.insert(index, position);
@@ -117,7 +117,7 @@
 
     /// Removes an endpoint from its group.
     pub fn remove(&mut self, division: Division, endpoint: &Endpoint) {
-        let position = division.ring_position(endpoint);
+        let position = division.hash_position(endpoint);
         if let Some(group) = self.groups.get_mut(&division.group_key(endpoint)) {
             group.retain(|other| *other != position);
         }
@@ -133,7 +133,7 @@
     }
 
     /// All groups with the positions of their backends, in the order of the keys.
-    pub fn iter(&self) -> impl Iterator<Item = (&GroupKey, &Vec<RingPosition>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&GroupKey, &Vec<HashPosition>)> {
         self.groups.iter()
     }
 }
--- a/crates/balancer/src/subset/groups/tests.rs
+++ b/crates/balancer/src/subset/groups/tests.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn positions_are_ordered_by_hash_and_then_by_id() {
-    let position = |hash, id| RingPosition {
+    let position = |hash, id| HashPosition {
         hash,
         id: BackendId(id),
     };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn inserting_and_removing_leads_to_the_same_groups_as_building_them_anew() {
+fn inserting_and_removing_endpoints_gives_the_same_groups_as_rebuilding_them() {
     for division in [BY_BACKEND, BY_CELL] {
         let mut groups = EndpointGroups::new(division, endpoints(40).iter());
         for number in (40..60).rev() {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_backends_of_a_cell_and_zone_are_adjacent_where_cells_stay_together() {
+fn the_backends_of_a_cell_and_zone_are_adjacent_if_cells_are_kept_together() {
     let groups = EndpointGroups::new(BY_CELL, endpoints(64).iter());
     assert!(groups.iter().count() > 1);
     for (key, group) in groups.iter() {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn each_round_has_its_own_order() {
+fn each_round_sorts_the_backends_differently() {
     let next_round = Division {
         round: 4,
         ..BY_BACKEND
--- a/crates/balancer/src/subset/subset_count.rs
+++ b/crates/balancer/src/subset/subset_count.rs
@@ -13,13 +13,13 @@
 /// 300 s. Without it, a fleet whose size is near a limit would alternate between two numbers, and
 /// each change replaces most connections. If it were longer, proxies that started at different
 /// times would use different numbers for longer.
-pub(super) const MIN_RESHARD_INTERVAL: Micros = Micros(300_000_000);
+pub(super) const MIN_COUNT_CHANGE_INTERVAL: Micros = Micros(300_000_000);
 /// The factor by which the size of the subsets may exceed or fall below its range during
-/// [`MIN_RESHARD_INTERVAL`].
+/// [`MIN_COUNT_CHANGE_INTERVAL`].
 const SIZE_TOLERANCE: f64 = 1.25;
 /// The factor between two successive numbers of subsets. The largest intended size of a subset is
 /// [`MIN_SUBSET_SIZE`] multiplied by the same factor.
-const COUNT_STEP: u32 = 2;
+const COUNT_FACTOR: u32 = 2;
 
 /// The number of subsets: a power of two, and 1 while the list is not divided.
 ///
@@ -60,10 +60,10 @@
     /// that the number stays.
     fn must_be_kept(&self, now: Time, backend_count: f64) -> bool {
         let min_size = MIN_SUBSET_SIZE / SIZE_TOLERANCE;
-        let max_size = MIN_SUBSET_SIZE * f64::from(COUNT_STEP) * SIZE_TOLERANCE;
+        let max_size = MIN_SUBSET_SIZE * f64::from(COUNT_FACTOR) * SIZE_TOLERANCE;
         let size = backend_count / f64::from(self.current);
         let is_tolerated = (min_size..max_size).contains(&size);
-        let is_recent = now - self.changed_at < MIN_RESHARD_INTERVAL;
+        let is_recent = now - self.changed_at < MIN_COUNT_CHANGE_INTERVAL;
         self.current > 1 && is_tolerated && is_recent
     }
 }
@@ -73,10 +73,10 @@
 fn best_subset_count(backend_count: f64, proxy_count: u32) -> u32 {
     let mut best = 1;
     loop {
-        let next = best * COUNT_STEP;
-        let has_proxies = next * MIN_PROXIES_PER_BACKEND <= proxy_count;
-        let has_backends = backend_count / f64::from(next) >= MIN_SUBSET_SIZE;
-        if !has_proxies || !has_backends {
+        let next = best * COUNT_FACTOR;
+        let has_enough_proxies = next * MIN_PROXIES_PER_BACKEND <= proxy_count;
+        let has_enough_backends = backend_count / f64::from(next) >= MIN_SUBSET_SIZE;
+        if !has_enough_proxies || !has_enough_backends {
             return best;
         }
         best = next;
--- a/crates/balancer/src/subset/subset_count/tests.rs
+++ b/crates/balancer/src/subset/subset_count/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_list_is_divided_as_far_as_backends_and_proxies_suffice() {
+fn the_subset_count_is_limited_by_the_numbers_of_backends_and_proxies() {
     assert_eq!(first_count(479, PROXIES), 1);
     assert_eq!(first_count(480, PROXIES), 2);
     assert_eq!(first_count(17_000, PROXIES), 64);
@@ -21,19 +21,19 @@
 }
 
 #[test]
-fn a_new_number_is_kept_for_five_minutes_while_the_size_is_tolerated() {
+fn a_new_subset_count_is_kept_for_five_minutes_while_the_size_is_tolerated() {
     let mut count = SubsetCount::new();
     assert!(count.update(START, 480, PROXIES));
     let too_small = 479;
-    let just_before = Time(START.0 + MIN_RESHARD_INTERVAL.0 - 1);
+    let just_before = Time(START.0 + MIN_COUNT_CHANGE_INTERVAL.0 - 1);
     assert!(!count.update(just_before, too_small, PROXIES));
     assert_eq!(count.get(), 2);
-    assert!(count.update(START + MIN_RESHARD_INTERVAL, too_small, PROXIES));
+    assert!(count.update(START + MIN_COUNT_CHANGE_INTERVAL, too_small, PROXIES));
     assert_eq!(count.get(), 1);
 }
 
 #[test]
-fn a_size_out_of_tolerance_changes_the_number_at_once() {
+fn a_subset_size_out_of_tolerance_changes_the_subset_count_immediately() {
     let mut count = SubsetCount::new();
     assert!(count.update(START, 480, PROXIES));
     assert!(
--- a/crates/balancer/src/subset/tests.rs
+++ b/crates/balancer/src/subset/tests.rs
@@ -1,5 +1,5 @@
 use super::groups::mix64;
-use super::subset_count::{MIN_RESHARD_INTERVAL, MIN_SUBSET_SIZE};
+use super::subset_count::{MIN_COUNT_CHANGE_INTERVAL, MIN_SUBSET_SIZE};
 use super::*;
 use crate::{CellId, Idempotency, KeyScope, MachineTypeId, Micros, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -229,7 +229,7 @@
         64,
         "the number of subsets is kept at first"
     );
-    let later = NOW + MIN_RESHARD_INTERVAL;
+    let later = NOW + MIN_COUNT_CHANGE_INTERVAL;
     let applied = grown.apply(later, &config, EndpointUpdate::Delta, vec![backend(0)]);
     let (_, expected) = after_snapshot(&config, &fleet(BACKENDS));
     assert!(ids(&applied.endpoints) == expected, "the subsets differ");
