--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -4,7 +4,7 @@
 use super::Balancer;
 use crate::admission::{prompt_latency, Promptness};
 use crate::backends::Backend;
-use crate::estimation::ASSUMED_LATENCY;
+use crate::estimation::ASSUMED_LATENCY_FRACTION;
 use crate::requests::Request;
 use crate::retry::{is_overdue, next_check};
 use crate::routing::{SharePlan, SlowStartPlan, ZoneFactors};
@@ -24,7 +24,7 @@
         let visit_rate = own_rate.filter(|_| !peers.are_few());
         self.outliers.update_visit_interval(ready_count, visit_rate);
         let fleet_rate = own_rate.map(|rate| rate * peers.per_backend);
-        let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY;
+        let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY_FRACTION;
         self.backends
             .estimate_speeds(elapsed, assumed_latency, fleet_rate);
         // Before any response no speed is known: without a rate the traffic is split evenly.
--- a/crates/balancer/src/estimation.rs
+++ b/crates/balancer/src/estimation.rs
@@ -8,7 +8,7 @@
     update_fraction, RateEstimator, RunningMean, TimeWeightedMean, EPSILON, RATE_MEMORY,
     SAMPLE_MEMORY,
 };
-pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY};
+pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY_FRACTION};
 
 /// Rate of this proxy's requests that is assumed until it has been measured, in requests per
 /// second.
--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -5,7 +5,7 @@
 use crate::{ClassId, Config, Micros};
 
 /// Latency that is assumed until a request has been served, as a fraction of the latency objective.
-pub(crate) const ASSUMED_LATENCY: f64 = 0.25;
+pub(crate) const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
 /// Shorter latencies are recorded as this latency, in seconds. It keeps quotients of mean latencies
 /// finite.
 const MIN_LATENCY: f64 = 1e-6;
@@ -57,7 +57,7 @@
     pub fn typical_within(&self, class: ClassId, objective: Micros) -> Micros {
         match self.classes[class.0].observed.get() {
             Some(seconds) => Micros::from_secs(seconds),
-            None => objective.times(ASSUMED_LATENCY),
+            None => objective.times(ASSUMED_LATENCY_FRACTION),
         }
     }
 
