--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -8,7 +8,7 @@
 pub(crate) const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
 /// Shorter latencies are recorded as this latency, in seconds. It keeps quotients of mean latencies
 /// finite.
-const MIN_LATENCY: f64 = 1e-6;
+const MIN_LATENCY_SECS: f64 = 1e-6;
 
 /// The latency of one class.
 struct ClassLatency {
@@ -91,7 +91,7 @@
     /// Records the latency of a served request. Returns the latency, in seconds, that a request of
     /// mean work would have had in its place, so that samples do not depend on the mix of classes.
     pub fn record(&mut self, class: ClassId, latency: Micros) -> f64 {
-        let seconds = latency.secs().max(MIN_LATENCY);
+        let seconds = latency.secs().max(MIN_LATENCY_SECS);
         let class_mean = &mut self.classes[class.0].observed;
         class_mean.add(seconds);
         self.overall.add(seconds);
