--- a/crates/balancer/src/estimation.rs
+++ b/crates/balancer/src/estimation.rs
@@ -1,4 +1,5 @@
-//! Estimates that the decisions work on: running means and rates, and the latency of each class.
+//! Estimates on which the balancer bases its decisions: running means and rates, and the latency of
+//! each class.
 
 mod estimators;
 mod latency;
@@ -7,7 +8,8 @@
     update_fraction, RateEstimator, RunningMean, TimeWeightedMean, EPSILON, RATE_MEMORY,
     SAMPLE_MEMORY,
 };
-pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY};
+pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY_FRACTION};
 
-/// Rate of this proxy's requests that is assumed before one was measured, in requests per second.
+/// Rate of this proxy's requests that is assumed until it has been measured, in requests per
+/// second.
 pub(crate) const ASSUMED_RATE: f64 = 1.0;
--- a/crates/balancer/src/routing/concurrency_limits/tests.rs
+++ b/crates/balancer/src/routing/concurrency_limits/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::test_fixtures::{SECOND, START};
 
-/// Limits for a proxy with a part of 16 attempts: 100 ready backends with 25 proxies on each.
+/// The limits of a proxy whose part of the target is 16 attempts: 4 attempts on each of 100 ready
+/// backends, divided by 25 proxies.
 fn limits() -> ConcurrencyLimits {
     let mut limits = ConcurrencyLimits::new();
     limits.update(100.0, Peers { per_backend: 25.0 });
@@ -9,8 +10,8 @@
 }
 
 #[test]
-fn the_momentary_limit_allows_for_chance() {
-    // 16 + 1.5 x 4 + 1 = 23, of which low priority may take half.
+fn the_momentary_limit_exceeds_the_target_by_one_and_a_half_deviations_plus_one() {
+    // 16 + 1.5 x 4 + 1 = 23. Low-priority requests may take half of that.
     let limits = limits();
     assert!(limits.allow(22.0, Priority::Normal));
     assert!(!limits.allow(23.0, Priority::Normal));
@@ -19,19 +20,20 @@
 }
 
 #[test]
-fn the_sustained_limit_holds_once_the_mean_has_risen() {
+fn the_sustained_limit_applies_once_the_recent_mean_exceeds_it() {
     let mut limits = ConcurrencyLimits::new();
-    // A part of 4 attempts: at most 4 + 1.5 x 2 + 1 = 8 for a moment, 6 for longer.
+    // The part of the target is about 4 attempts: the momentary limit is 4 + 1.5 x 2 + 1 = 8, the
+    // sustained limit 1.5 x 4 = 6.
     limits.update(4.0, Peers { per_backend: 4.1 });
-    let part = 4.0 / 4.1 * 4.0;
-    assert!(limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
+    let own_concurrency = 4.0 / 4.1 * 4.0;
+    assert!(limits.allow(own_concurrency * SUSTAINED_LIMIT_FACTOR, Priority::Normal));
     limits.record_in_flight(START, 7.0);
     limits.record_in_flight(START + SECOND.times(10.0), 7.0);
-    assert!(!limits.allow(part * SUSTAINED_FACTOR, Priority::Normal));
+    assert!(!limits.allow(own_concurrency * SUSTAINED_LIMIT_FACTOR, Priority::Normal));
     assert!(limits.allow(5.0, Priority::Normal));
 }
 
 #[test]
-fn nothing_is_allowed_before_the_first_update() {
+fn no_attempt_is_allowed_before_the_first_update() {
     assert!(!ConcurrencyLimits::new().allow(0.0, Priority::Normal));
 }
