--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: which requests are served while the fleet cannot serve all of them.
+//! Admission: load shedding by priority and the tenants' quotas, which decide which requests
+//! are served while the fleet is overloaded.
 
 mod control;
 mod priority;
--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -1,5 +1,8 @@
-//! Admission control: an overloaded fleet sheds the requests of least weight, to serve the rest in
-//! time.
+//! Admission control: while the fleet is overloaded, the requests with the lowest weight are shed
+//! so that the others are served in time.
+//!
+//! The overload is inferred from the latency of responses: each prompt response raises the admitted
+//! fraction of the traffic, each late one lowers it.
 
 use super::priority::{Priority, RequestWeight, Timeliness, TrafficMix};
 use super::tenant_quotas::TenantQuotas;
@@ -8,39 +11,43 @@
 use crate::random::Rng;
 use crate::{Arrival, ClassId, Config, Micros, Time};
 
-/// A prompt response comes within this fraction of the time from an unloaded response to the
-/// latency objective. At twice that the slowest responses miss the objective.
+/// A response is prompt if it arrives within the latency of an unloaded response plus this fraction
+/// of the time from there to the latency objective. With twice this fraction, the slowest responses
+/// miss the objective.
 const PROMPT_FRACTION: f64 = 0.25;
-/// Least fraction of the traffic that is admitted, so that a recovery is noticed.
+/// Minimum admitted fraction of the traffic. Without any responses, a recovery of the fleet would
+/// not be noticed.
 const MIN_ADMITTED_FRACTION: f64 = 0.05;
-/// The admitted fraction may rise above one. Chance makes some responses late at any load, and each
-/// late response lowers the fraction. With a bound of one, every proxy would shed a little traffic
-/// all the time; above one, some late responses shed nothing yet.
+/// Maximum admitted fraction of the traffic. It is above 1 because some responses are late by
+/// chance at any load, and each late response lowers the fraction. With a maximum of 1, every proxy
+/// would always shed a little traffic; with a higher one, a few late responses do not shed any yet.
 const MAX_ADMITTED_FRACTION: f64 = 1.4;
-/// Relative rise of the admitted fraction for each prompt response.
+/// Relative rise of the admitted fraction for each prompt response at rates up to
+/// [`FULL_STEP_RATE`].
 const ADMISSION_STEP: f64 = 0.07;
-/// A response that is not prompt lowers the fraction by so many steps: it is stable while a third
-/// of the responses are late.
+/// Number of steps by which a late response lowers the admitted fraction. With 2 steps, the
+/// fraction is stable while a third of the responses are late.
 const STEPS_DOWN: f64 = 2.0;
-/// Highest rate of admitted requests, per second, at which the full step is taken. At a higher rate
-/// the step is smaller, because the fraction must not change faster than the responses that show
-/// the effect of the change.
+/// Maximum rate of admitted requests, per second, at which a response changes the fraction by a
+/// full step. The step is smaller at higher rates, because the fraction must not change faster than
+/// the responses arrive that show the effect of the change.
 const FULL_STEP_RATE: f64 = 10.0;
 
-/// Whether a response came so soon that the fleet is not overloaded; see [`PROMPT_FRACTION`].
+/// Whether a response arrived so early that the fleet is not overloaded; see [`PROMPT_FRACTION`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Promptness {
-    /// It came within the prompt latency.
+    /// The response arrived within the prompt latency.
     Prompt,
-    /// It came later, or not in time at all.
+    /// The response arrived later, or did not arrive within that time.
     Late,
 }
 
-/// The load that competes with a request for admission, in fractions of all traffic.
+/// The load that competes with a request for admission, as fractions of all traffic.
 struct CompetingLoad {
-    /// Requests that are admitted before it.
+    /// Load of the requests that are admitted before this one.
     more_important: f64,
-    /// Requests that are as important: its own class, or all of low priority.
+    /// Load of the requests that are equally important: those of the same class, or all requests of
+    /// low priority.
     own: f64,
 }
 
@@ -48,11 +55,12 @@
 ///
 /// It owns the admitted fraction of the traffic, the mix of the arrivals by class and by priority,
 /// the rate of admitted requests and the use of the tenants' quotas. Work estimates, the number of
-/// peers, the configuration and random numbers are passed in.
+/// peers, the configuration and the random number generator are passed in.
 pub(crate) struct AdmissionControl {
-    /// Fraction of the traffic that is admitted; see [`MAX_ADMITTED_FRACTION`].
+    /// Fraction of the traffic that is admitted; all of it at 1 and above, see
+    /// [`MAX_ADMITTED_FRACTION`].
     admitted_fraction: f64,
-    /// Fraction of the arrivals that has low priority.
+    /// Fraction of the arrivals that have low priority.
     low_priority_fraction: f64,
     /// Requests per second that this proxy admits.
     admitted_rate: RateEstimator,
@@ -61,7 +69,7 @@
 }
 
 impl AdmissionControl {
-    /// An admission control that admits everything until responses come late.
+    /// Creates an admission control that admits every request until responses are late.
     pub fn new(config: &Config) -> AdmissionControl {
         AdmissionControl {
             admitted_fraction: 1.0,
@@ -72,7 +80,8 @@
         }
     }
 
-    /// Takes an arriving request into the mix and the quotas; returns its weight.
+    /// Records an arriving request in the traffic mix and in its tenant's quota; returns its
+    /// weight.
     pub fn record_arrival(
         &mut self,
         now: Time,
@@ -90,9 +99,11 @@
         weight
     }
 
-    /// Decides on an arriving request and counts it in the rate if it is admitted. Requests of the
-    /// highest density are admitted first, low priority last; in the class at the limit, chance
-    /// decides.
+    /// Decides whether an arriving request is admitted, and counts it in the rate if it is.
+    ///
+    /// The admitted fraction goes to the classes in the order of their density, and to all requests
+    /// of low priority last. Requests of the class for which only a part of the fraction remains
+    /// are admitted at random.
     pub fn admit(
         &mut self,
         now: Time,
@@ -108,13 +119,13 @@
             let load = self.competing_load(class, weight, config, latencies);
             rng.unit() * load.own < self.admitted_fraction - load.more_important
         };
-        // Shares are computed from the rate of admitted requests: the others reach no backend. The
-        // rate also counts requests that are admitted but cannot be placed.
+        // The shares are computed from the rate of admitted requests, because rejected requests do
+        // not reach any backend. The rate includes requests that are admitted but cannot be placed.
         self.admitted_rate.add(now, f64::from(is_admitted));
         is_admitted
     }
 
-    /// The load that competes with a request for admission.
+    /// Computes the load that competes with a request for admission.
     fn competing_load(
         &self,
         class: ClassId,
@@ -141,19 +152,21 @@
         }
     }
 
-    /// Learns from a response, or from the lack of one, whether the fleet is overloaded.
+    /// Adjusts the admitted fraction to a response, or to the lack of one.
     ///
-    /// Many proxies cannot limit what a backend has in flight, as none sees what the others send.
-    /// So each learns from its own responses that all of them together send too much.
+    /// If many proxies share a backend, they cannot limit its requests in flight, because no proxy
+    /// knows what the others send. Instead, each proxy infers from its own responses that all
+    /// proxies together send too much.
     pub fn adjust(&mut self, promptness: Promptness, peers: Peers) {
         if peers.are_few() {
-            // The concurrency limits of so few proxies bound the load well enough.
+            // The concurrency limits bound the load of the backends well enough.
             return;
         }
         let rate = self.admitted_rate.per_s().unwrap_or(ASSUMED_RATE);
         let step = ADMISSION_STEP * (FULL_STEP_RATE / rate).min(1.0);
-        // The step is taken per response, not per arrival. After most of the traffic was shed, few
-        // responses come, and the slow rise lets the overloaded backends recover.
+        // The fraction changes per response, not per arrival. After most of the traffic has been
+        // shed, few responses arrive, so that the fraction rises slowly and the overloaded backends
+        // can recover.
         let change = match promptness {
             Promptness::Prompt => 1.0 + step,
             Promptness::Late => 1.0 - STEPS_DOWN * step,
@@ -162,25 +175,26 @@
         self.admitted_fraction = fraction.clamp(MIN_ADMITTED_FRACTION, MAX_ADMITTED_FRACTION);
     }
 
-    /// Records that a request has had its final response.
+    /// Records the final response of a request.
     pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
         self.mix.record_response(class, timeliness);
     }
 
-    /// The density of each class; see [`TrafficMix::densities`].
+    /// Returns the density of each class; see [`TrafficMix::densities`].
     pub fn densities(&self, config: &Config, latencies: &LatencyEstimates) -> Vec<f64> {
         self.mix.densities(config, latencies)
     }
 
-    /// Requests per second that this proxy admits, as of now; `None` until that is known.
+    /// Returns the requests per second that this proxy admits at `now`; `None` until enough time
+    /// has been observed.
     pub fn update_rate(&mut self, now: Time) -> Option<f64> {
         self.admitted_rate.add(now, 0.0);
         self.admitted_rate.per_s()
     }
 }
 
-/// The time from the dispatch of an attempt within which a response counts as prompt. `baseline` is
-/// the unloaded latency of a mean request on its backend, s, if that is known.
+/// Returns the time from the dispatch of an attempt within which a response counts as prompt.
+/// `baseline` is the latency of a mean request on the backend without load, in seconds, if known.
 pub(crate) fn prompt_latency(
     latencies: &LatencyEstimates,
     baseline: Option<f64>,
--- a/crates/balancer/src/admission/control/tests.rs
+++ b/crates/balancer/src/admission/control/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use crate::test_fixtures::*;
 
-/// So many that each learns from its own responses.
+/// So many proxies per backend that admission control is in effect.
 const MANY: Peers = Peers { per_backend: 100.0 };
-/// So few that their concurrency limits suffice.
+/// So few proxies per backend that the concurrency limits suffice.
 const FEW: Peers = Peers { per_backend: 2.0 };
 
 fn control() -> AdmissionControl {
     AdmissionControl::new(&Config::example())
 }
 
-/// How many of 1,000 arriving requests are admitted.
+/// Returns how many of 1,000 arriving requests are admitted.
 fn admitted_of_1000(control: &mut AdmissionControl) -> usize {
     let config = Config::example();
     let latencies = LatencyEstimates::new(&config);
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn everything_is_admitted_until_responses_come_late() {
+fn every_request_is_admitted_before_any_late_response() {
     assert_eq!(admitted_of_1000(&mut control()), 1_000);
 }
 
 #[test]
-fn late_responses_shed_load_down_to_a_bound() {
+fn late_responses_shed_load_down_to_the_minimum_fraction() {
     let mut control = control();
     for _ in 0..100 {
         control.adjust(Promptness::Late, MANY);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn one_late_response_in_four_sheds_nothing() {
+fn no_load_is_shed_while_one_response_in_four_is_late() {
     let mut control = control();
     for number in 0..100 {
         let is_fourth = number % 4 == 0;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn few_proxies_shed_nothing() {
+fn no_load_is_shed_if_few_proxies_share_each_backend() {
     let mut control = control();
     for _ in 0..100 {
         control.adjust(Promptness::Late, FEW);
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -1,53 +1,58 @@
-//! Priorities: what a request is worth beside others of its class, and a class beside other
-//! classes.
+//! Priorities: the weight of a request relative to others of its class, and the density of a class,
+//! which ranks the classes by the value of their requests per unit of work.
 
 use crate::estimation::{update_fraction, LatencyEstimates};
 use crate::{Arrival, Class, ClassId, Config};
 
-/// Least weight of a client's retry beside a first request: some still come in time.
+/// Minimum weight of a client's retry relative to a first request. It is above 0 because some
+/// retries are still served in time.
 const MIN_RETRY_WEIGHT: f64 = 0.1;
-/// Requests of a lower weight have low priority.
+/// Requests with a weight below this limit have low priority.
 const LOW_PRIORITY_WEIGHT: f64 = 0.5;
-/// Low-priority requests may take this fraction of any capacity; the rest is reserved for others.
+/// Fraction of any capacity that low-priority requests may use. The remaining capacity is reserved
+/// for requests of normal priority.
 pub(crate) const LOW_PRIORITY_CAPACITY_FRACTION: f64 = 0.5;
-/// Least fraction of the arrivals that a class counts with.
+/// Minimum fraction of the arrivals that is assumed for a class. Other values are divided by this
+/// fraction, so it must not be 0.
 const MIN_ARRIVAL_SHARE: f64 = 1e-3;
-/// Classes that are served so little better than the worst count as the worst as well.
+/// A class counts as worst-served if the fraction of its requests that is served on time exceeds
+/// the lowest such fraction by at most this margin.
 const WORST_CLASS_MARGIN: f64 = 0.02;
 
-/// Whether part of the capacity is reserved for other requests.
+/// How much of any capacity a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// The request may take all of the capacity.
+    /// The request may use all of the capacity.
     Normal,
-    /// The request may take [`LOW_PRIORITY_CAPACITY_FRACTION`] of it.
+    /// The request may use [`LOW_PRIORITY_CAPACITY_FRACTION`] of the capacity.
     Low,
 }
 
-/// Whether a response came within its latency objective.
+/// Whether a request was served within its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timeliness {
-    /// It was a served request within its objective.
+    /// The request was served within its objective.
     OnTime,
-    /// It was late, or the request was not served.
+    /// The request was served late or not at all.
     Missed,
 }
 
-/// The weight of a request, as a fraction of that of a first request within its tenant's quota.
+/// The weight of a request, as a fraction of the weight of a first request within its tenant's
+/// quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RequestWeight(f64);
 
 impl RequestWeight {
-    /// The weight of an arriving request of a class.
+    /// Computes the weight of an arriving request of a class.
     pub fn new(
         config: &Config,
         class: &Class,
         arrival: &Arrival,
         is_over_quota: bool,
     ) -> RequestWeight {
-        // A client that retries has waited for its first request: mostly the late weight is left to
-        // earn. Serving the retry before a new request would make both late, all through a storm of
-        // retries.
+        // A client that retries has already waited for its first request, so its response mostly
+        // counts with the late weight only. If retries were served before new requests, both would
+        // be late for as long as a retry storm lasts.
         let retry_weight = if arrival.is_retry {
             class.late_weight.max(MIN_RETRY_WEIGHT)
         } else {
@@ -61,12 +66,12 @@
         RequestWeight(retry_weight * quota_weight)
     }
 
-    /// The weight as a number.
+    /// Returns the weight as a number, from 0 to 1.
     pub fn value(self) -> f64 {
         self.0
     }
 
-    /// The priority that follows from the weight.
+    /// Returns the priority that follows from the weight.
     pub fn priority(self) -> Priority {
         if self.0 < LOW_PRIORITY_WEIGHT {
             Priority::Low
@@ -75,44 +80,46 @@
         }
     }
 
-    /// The upper bound of the weights of low priority if this is one, else `None`.
+    /// Returns the upper bound of the low-priority weights if this weight has low priority,
+    /// otherwise `None`.
     pub fn low_priority_limit(self) -> Option<f64> {
         let is_low = self.priority() == Priority::Low;
         is_low.then_some(LOW_PRIORITY_WEIGHT)
     }
 }
 
-/// The traffic of one class as this proxy has seen it lately.
+/// The recent traffic of one class at this proxy.
 #[derive(Clone, Copy, Default)]
 struct ClassTraffic {
-    /// The class's fraction of the arrivals.
+    /// Arrivals of this class, as a fraction of all arrivals.
     arrival_share: f64,
-    /// Responses of this class within the objective, as a fraction of all final responses.
+    /// Final responses of this class within the objective, as a fraction of all final responses.
     on_time_share: f64,
 }
 
 impl ClassTraffic {
-    /// The arrival share, not lower than what a class counts with.
+    /// Returns the arrival share, but at least [`MIN_ARRIVAL_SHARE`].
     fn counted_share(&self) -> f64 {
         self.arrival_share.max(MIN_ARRIVAL_SHARE)
     }
 
-    /// The fraction of its arrivals that was served within the objective.
+    /// Returns the fraction of the arrivals of this class that was served within the objective.
     fn on_time_fraction(&self) -> f64 {
         self.on_time_share / self.counted_share()
     }
 }
 
-/// The mix of traffic classes that arrives at this proxy, and how well each class is served.
+/// The mix of traffic classes that arrives at this proxy, and the fraction of each class that is
+/// served on time.
 ///
 /// It owns both as running fractions. Work estimates are passed in.
 pub(crate) struct TrafficMix {
-    /// By the index of the class.
+    /// One entry for each class, by the index of the class.
     classes: Vec<ClassTraffic>,
 }
 
 impl TrafficMix {
-    /// A mix of which nothing is known yet.
+    /// Creates a mix without any arrivals or responses.
     pub fn new(class_count: usize) -> TrafficMix {
         TrafficMix {
             classes: vec![ClassTraffic::default(); class_count],
@@ -126,15 +133,16 @@
         }
     }
 
-    /// Records that a request has had its final response.
+    /// Records the final response of a request.
     pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
         for (index, traffic) in self.classes.iter_mut().enumerate() {
-            let is_hit = timeliness == Timeliness::OnTime && index == class.0;
-            update_fraction(&mut traffic.on_time_share, is_hit);
+            let is_on_time = timeliness == Timeliness::OnTime && index == class.0;
+            update_fraction(&mut traffic.on_time_share, is_on_time);
         }
     }
 
-    /// The load of each class: its fraction of the arrivals multiplied by its relative work.
+    /// Returns the load of each class: its fraction of the arrivals multiplied by its relative
+    /// work.
     pub fn loads(&self, latencies: &LatencyEstimates) -> Vec<f64> {
         let mut loads = Vec::with_capacity(self.classes.len());
         for (index, traffic) in self.classes.iter().enumerate() {
@@ -143,8 +151,12 @@
         loads
     }
 
-    /// The density of each class: what serving one of its requests is worth to the operators'
-    /// objective, per unit of work.
+    /// Returns the density of each class: the gain in the operators' objective from serving one of
+    /// its requests, per unit of work.
+    ///
+    /// The objective is a weighted sum of two goals: the fraction of all traffic that is served on
+    /// time, in which classes count by their priority weights, and that fraction of the
+    /// worst-served class. Only the worst-served classes gain from the second goal.
     pub fn densities(&self, config: &Config, latencies: &LatencyEstimates) -> Vec<f64> {
         let mean_weight = self.mean_priority_weight(config);
         let worst_fraction = self.worst_on_time_fraction();
--- a/crates/balancer/src/admission/priority/tests.rs
+++ b/crates/balancer/src/admission/priority/tests.rs
@@ -4,7 +4,7 @@
 
 const TOLERANCE: f64 = 1e-9;
 
-/// Two classes, the second of which is worth three times as much.
+/// A configuration with two classes. The second has three times the priority weight of the first.
 fn two_classes() -> Config {
     let mut config = Config::example();
     let mut second = config.classes[0].clone();
@@ -13,7 +13,7 @@
     config
 }
 
-/// A mix in which both classes arrive equally often and only the second is served in time.
+/// A mix in which both classes arrive equally often and only the second is served on time.
 fn mix_with_a_worst_class() -> TrafficMix {
     let mut mix = TrafficMix::new(2);
     for _ in 0..2_000 {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn only_low_priority_has_a_limit() {
+fn only_low_priority_weights_have_an_upper_bound() {
     assert_eq!(weight(false, false).low_priority_limit(), None);
     assert_eq!(
         weight(true, false).low_priority_limit(),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn densities_follow_the_priority_weights() {
+fn densities_are_proportional_to_the_priority_weights() {
     let config = two_classes();
     let latencies = LatencyEstimates::new(&config);
     let densities = mix_with_a_worst_class().densities(&config, &latencies);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_worst_served_class_gains_where_it_has_a_goal_weight() {
+fn the_worst_class_goal_raises_the_density_of_the_worst_served_class_only() {
     let mut config = two_classes();
     let latencies = LatencyEstimates::new(&config);
     let mix = mix_with_a_worst_class();
--- a/crates/balancer/src/admission/tenant_quotas.rs
+++ b/crates/balancer/src/admission/tenant_quotas.rs
@@ -1,19 +1,19 @@
-//! The tenants' quotas, measured with one token bucket for each tenant.
+//! The tenants' quotas of requests per second, measured with one token bucket per tenant.
 
 use super::token_bucket::TokenBucket;
 use crate::{Config, TenantId, Time};
 
-/// How much of its quota each tenant has used at this proxy.
+/// The use of each tenant's quota at this proxy.
 ///
-/// It owns the buckets. The quotas themselves are passed in with the configuration; each proxy
-/// grants an even part of them.
+/// It owns the buckets. The quotas are passed in with the configuration. Each proxy grants an even
+/// part of a quota, which applies to all proxies together.
 pub(crate) struct TenantQuotas {
-    /// By the index of the tenant.
+    /// One bucket for each tenant, by the index of the tenant.
     buckets: Vec<TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// Quotas of which nothing has been used.
+    /// Creates the quotas with nothing used.
     pub fn new(config: &Config) -> TenantQuotas {
         let buckets = config.tenants.iter().map(|_| TokenBucket::default());
         TenantQuotas {
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Counts a request against its tenant's quota; returns whether the request is beyond it.
+    /// Counts a request against its tenant's quota; returns whether it exceeds the quota. A request
+    /// without a known tenant never does.
     pub fn count_request(&mut self, now: Time, config: &Config, tenant: Option<TenantId>) -> bool {
         let Some(TenantId(index)) = tenant else {
             return false;
--- a/crates/balancer/src/admission/tenant_quotas/tests.rs
+++ b/crates/balancer/src/admission/tenant_quotas/tests.rs
@@ -2,7 +2,8 @@
 use crate::test_fixtures::START;
 use crate::Tenant;
 
-/// Three proxies, and one tenant that may send 30 requests per second to all of them together.
+/// A configuration with three proxies and one tenant, whose quota is 30 requests per second to all
+/// proxies together.
 fn config() -> Config {
     let mut config = Config::example();
     config.tenants = vec![Tenant { quota_per_s: 30.0 }];
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn each_proxy_grants_its_part_of_a_quota() {
+fn each_proxy_grants_an_even_part_of_a_quota() {
     let config = config();
     let mut quotas = TenantQuotas::new(&config);
     let mut count = |_: &usize| !quotas.count_request(START, &config, Some(TenantId(0)));
--- a/crates/balancer/src/admission/token_bucket.rs
+++ b/crates/balancer/src/admission/token_bucket.rs
@@ -3,24 +3,27 @@
 use crate::estimation::RATE_MEMORY;
 use crate::Time;
 
-/// Fewest tokens that a bucket can hold: with less than one, no request would ever get a token.
+/// Minimum capacity of a bucket, in tokens. With a capacity below one, no request would ever get a
+/// token.
 const MIN_CAPACITY: f64 = 1.0;
-/// Tokens that one request takes.
+/// Tokens that each request takes.
 const TOKENS_PER_REQUEST: f64 = 1.0;
 
-/// A token bucket. It starts full and holds the tokens of [`RATE_MEMORY`] seconds, one at least.
+/// A token bucket. It starts full. Its capacity is the tokens that are added in [`RATE_MEMORY`]
+/// seconds, but at least one.
 ///
-/// It owns its tokens and the time of the last refill. It takes the time and the rate at which
-/// tokens are added as arguments.
+/// It owns its tokens and the time of the last refill. The caller passes in the current time and
+/// the rate at which tokens are added.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
-    /// When tokens were last added; `None` until the bucket has been filled for the first time.
+    /// When tokens were last added; `None` before the bucket is first used.
     refilled_at: Option<Time>,
 }
 
 impl TokenBucket {
-    /// Takes a token, if there is one, from a bucket that gains `rate` tokens per second.
+    /// Refills the bucket at `rate` tokens per second, then takes a token. Returns `false` if there
+    /// is none.
     pub fn take(&mut self, now: Time, rate: f64) -> bool {
         self.refill(now, rate);
         if self.tokens < TOKENS_PER_REQUEST {
@@ -30,7 +33,7 @@
         true
     }
 
-    /// Adds the tokens since the last refill, up to the capacity.
+    /// Adds the tokens for the time since the last refill, up to the capacity.
     fn refill(&mut self, now: Time, rate: f64) {
         let elapsed_secs = match self.refilled_at {
             Some(refilled_at) => (now - refilled_at).secs(),
--- a/crates/balancer/src/admission/token_bucket/tests.rs
+++ b/crates/balancer/src/admission/token_bucket/tests.rs
@@ -3,7 +3,7 @@
 
 const START: Time = Time(1_000_000);
 
-/// Takes tokens until there is none; returns how many there were.
+/// Takes tokens until none is left; returns how many were taken.
 fn drain(bucket: &mut TokenBucket, now: Time, rate: f64) -> u32 {
     let mut taken = 0;
     while bucket.take(now, rate) {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_bucket_starts_with_the_tokens_of_two_seconds() {
+fn a_bucket_starts_full_with_the_tokens_of_two_seconds() {
     let mut bucket = TokenBucket::default();
     assert_eq!(drain(&mut bucket, START, 5.0), 10);
 }
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn parts_of_a_token_add_up() {
+fn fractions_of_a_token_accumulate() {
     let mut bucket = TokenBucket::default();
     drain(&mut bucket, START, 2.0);
     assert!(!bucket.take(START + Micros(250_000), 2.0));
--- a/crates/balancer/src/backends.rs
+++ b/crates/balancer/src/backends.rs
@@ -1,4 +1,4 @@
-//! The backends and machine types that this proxy knows, and the detection of faulty backends.
+//! Backends and machine types: their state, their speed, and the detection of faulty backends.
 
 mod backend;
 mod health;
--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -1,35 +1,37 @@
-//! What the balancer knows of one backend.
+//! The state of one backend: its endpoint list entry, its health, its limits and its load.
 
 use super::health::BackendHealth;
 use crate::admission::{Priority, LOW_PRIORITY_CAPACITY_FRACTION};
 use crate::{BackendState, Endpoint, MachineTypeId, Micros, Time};
 
-/// Work that was sent to a backend at one time.
+/// The work of one attempt that was sent to a backend.
 #[derive(Clone, Copy)]
 struct SentWork {
     sent_at: Time,
-    /// In multiples of a mean request.
+    /// Work of the attempt, in multiples of a mean request.
     work: f64,
 }
 
-/// What the regular computation of the shares gives a backend.
+/// The limits and shares of a backend, as set by the periodic computation of the shares.
 pub(crate) struct Allocation {
-    /// Attempts of this proxy that the backend may have in flight.
+    /// Maximum number of attempts of this proxy that may be in flight on the backend.
     pub concurrency_limit: f64,
-    /// Work that this proxy may send it in an overload window, in multiples of a mean request;
-    /// infinite unless it is in slow start.
+    /// Work that this proxy may send to the backend within an overload window, in multiples of a
+    /// mean request; infinite unless the backend is in slow start.
     pub slow_start_quota: f64,
-    /// Its fraction of this proxy's traffic.
+    /// Fraction of this proxy's traffic that goes to the backend.
     pub local_share: f64,
-    /// Fraction of the traffic that all proxies together can give it.
+    /// Fraction of the total traffic that all proxies together can send to the backend.
     pub planned_share: f64,
 }
 
-/// One backend: its entry in the endpoint list, its health, and what this proxy may send it.
+/// One backend: its entry in the endpoint list, its health, and the limits of what this proxy may
+/// send to it.
 ///
 /// It owns the list entry, the health, the count of attempts in flight and the work that was sent
-/// to it lately. [`BackendTable::update_readiness`](super::BackendTable::update_readiness) sets its
-/// readiness, an ejection sets that to 0, and [`allocate`](Self::allocate) sets its limits.
+/// to it recently. [`BackendTable::update_readiness`](super::BackendTable::update_readiness) sets
+/// the readiness, an ejection sets the readiness to 0, and [`allocate`](Self::allocate) sets the
+/// limits.
 #[derive(Default)]
 pub(crate) struct Backend {
     endpoint: Endpoint,
@@ -38,60 +40,61 @@
     readiness: f64,
     local_share: f64,
     concurrency_limit: f64,
-    /// Attempts of this proxy that the backend has in flight.
+    /// Number of attempts of this proxy that are in flight on the backend.
     in_flight: u32,
     slow_start_quota: f64,
-    /// Work sent within the overload window.
+    /// Attempts that were sent within the overload window, with their work.
     recent_work: Vec<SentWork>,
 }
 
 impl Backend {
-    /// Its entry in the endpoint list.
+    /// Returns the backend's entry in the endpoint list.
     pub fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Its machine type.
+    /// Returns the id of the backend's machine type.
     pub fn machine_type(&self) -> MachineTypeId {
         self.endpoint.machine_type
     }
 
-    /// Its health as outlier detection sees it.
+    /// Returns the health as observed by outlier detection.
     pub fn health(&self) -> &BackendHealth {
         &self.health
     }
 
-    /// The same for those that change it: outlier detection, and the end of an ejection.
+    /// Returns the health for an update by outlier detection or at the end of an ejection.
     pub fn health_mut(&mut self) -> &mut BackendHealth {
         &mut self.health
     }
 
-    /// From 0 (send nothing) to 1 (healthy and warm).
+    /// Returns the readiness, from 0 (send nothing) to 1 (healthy and warm).
     pub fn readiness(&self) -> f64 {
         self.readiness
     }
 
-    /// Its fraction of this proxy's traffic.
+    /// Returns the fraction of this proxy's traffic that goes to the backend.
     pub fn local_share(&self) -> f64 {
         self.local_share
     }
 
-    /// Whether the endpoint list has it as ready for new requests.
+    /// Whether the endpoint list marks the backend as ready for new requests.
     pub fn is_listed_as_ready(&self) -> bool {
         self.endpoint.state == BackendState::Ready
     }
 
-    /// Whether it has left the endpoint list and nothing is in flight on it.
+    /// Whether the backend has left the endpoint list and no attempt is in flight on it.
     pub fn is_gone(&self) -> bool {
         self.endpoint.state == BackendState::Removed && self.in_flight == 0
     }
 
-    /// Whether requests may be sent to it now.
+    /// Whether requests may be sent to the backend now.
     pub fn is_usable(&self) -> bool {
         self.readiness > 0.0 && !self.health.is_unresponsive()
     }
 
-    /// Whether it may have one more attempt in flight.
+    /// Whether the concurrency limit allows one more attempt of a request of this priority.
+    /// Requests of low priority may use only [`LOW_PRIORITY_CAPACITY_FRACTION`] of the limit.
     pub fn has_free_concurrency(&self, priority: Priority) -> bool {
         let limit = match priority {
             Priority::Normal => self.concurrency_limit,
@@ -100,8 +103,9 @@
         f64::from(self.in_flight) < limit
     }
 
-    /// Whether its slow-start quota allows so much work now. One request that is heavier than the
-    /// whole quota may have all of it.
+    /// Whether the slow-start quota allows an attempt with this work now, in multiples of a mean
+    /// request. A quota of at least one mean request also allows a single heavier request if
+    /// nothing was sent within the window.
     pub fn is_within_slow_start_quota(&self, now: Time, window: Micros, work: f64) -> bool {
         if self.slow_start_quota == f64::INFINITY {
             return true;
@@ -111,28 +115,29 @@
         may_exceed_once || self.slow_start_quota - used >= work
     }
 
-    /// Work that was sent within the window, in multiples of a mean request.
+    /// Returns the work that was sent within the window, in multiples of a mean request.
     fn work_since(&self, now: Time, window: Micros) -> f64 {
         let in_window = |sent: &&SentWork| now - sent.sent_at < window;
         let recent = self.recent_work.iter().filter(in_window);
         recent.map(|sent| sent.work).sum()
     }
 
-    /// Records an attempt that the host has been asked to send, and forgets work that was sent
-    /// before the window.
+    /// Records an attempt that the host is requested to send, and removes the records of work that
+    /// was sent before the window. `work` is in multiples of a mean request.
     pub fn record_dispatch(&mut self, now: Time, work: f64, window: Micros) {
         self.in_flight += 1;
         self.recent_work.retain(|sent| now - sent.sent_at < window);
         self.recent_work.push(SentWork { sent_at: now, work });
     }
 
-    /// Records the end of an attempt.
+    /// Records that an attempt has ended.
     pub fn record_attempt_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes in its entry in the endpoint list; returns whether anything but its weight changed. A
-    /// live weight changes all the time: the next regular computation of the shares takes it in.
+    /// Replaces the entry in the endpoint list; returns whether anything but the weight changed.
+    /// Live weights change all the time, so a new weight waits for the next periodic computation of
+    /// the shares.
     pub fn update_endpoint(&mut self, endpoint: Endpoint) -> bool {
         if self.endpoint.started_at != endpoint.started_at {
             self.forget_process();
@@ -146,8 +151,8 @@
         has_changed
     }
 
-    /// Forgets what was learned: a restarted process has nothing in common with the one before but
-    /// its address. What was sent to that address still counts.
+    /// Discards what was learned about the previous process: a restarted process has only the
+    /// address in common with it. Attempts in flight and work sent to that address still count.
     fn forget_process(&mut self) {
         *self = Backend {
             in_flight: self.in_flight,
@@ -156,22 +161,23 @@
         };
     }
 
-    /// Records that the endpoint list does not have it any more.
+    /// Records that the endpoint list no longer contains the backend.
     pub fn mark_removed(&mut self) {
         self.endpoint.state = BackendState::Removed;
     }
 
-    /// Sends it nothing more until its readiness is computed again, after an ejection.
+    /// Sets the readiness to 0 after an ejection, so that nothing is sent to the backend until its
+    /// readiness is next computed.
     pub fn stop_using(&mut self) {
         self.readiness = 0.0;
     }
 
-    /// Sets its readiness.
+    /// Sets the readiness, from 0 to 1.
     pub fn set_readiness(&mut self, readiness: f64) {
         self.readiness = readiness;
     }
 
-    /// Sets what it may be sent from now on.
+    /// Sets the limits and the local share of the backend.
     pub fn allocate(&mut self, allocation: &Allocation) {
         self.concurrency_limit = allocation.concurrency_limit;
         self.slow_start_quota = allocation.slow_start_quota;
--- a/crates/balancer/src/backends/backend/tests.rs
+++ b/crates/balancer/src/backends/backend/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn half_of_the_concurrency_is_reserved_from_low_priority() {
+fn half_of_the_concurrency_limit_is_reserved_for_normal_priority() {
     let mut backend = backend_with(3.0, f64::INFINITY);
     for (in_flight, low_priority_allowed) in [(0, true), (1, true), (2, false)] {
         assert!(
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn a_slow_start_quota_is_free_again_after_the_window() {
+fn work_counts_against_the_slow_start_quota_until_the_window_has_passed() {
     let mut backend = backend_with(9.0, 2.0);
     assert!(
         backend.is_within_slow_start_quota(START, SECOND, 5.0),
-        "one heavy request"
+        "a single heavy request is allowed"
     );
     backend.record_dispatch(START, 1.5, SECOND);
     assert!(backend.is_within_slow_start_quota(START, SECOND, 0.5));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_restarted_process_keeps_only_what_was_sent_to_its_address() {
+fn a_restart_resets_all_but_the_attempts_in_flight_and_the_recent_work() {
     let mut backend = backend_with(9.0, 2.0);
     backend.record_dispatch(START, 2.0, SECOND);
     backend.health_mut().eject(START, 1.0);
@@ -60,13 +60,13 @@
     assert_eq!(backend.local_share(), 0.0);
     assert_eq!(backend.work_since(START, SECOND), 2.0);
     backend.mark_removed();
-    assert!(!backend.is_gone(), "an attempt is in flight");
+    assert!(!backend.is_gone(), "an attempt is still in flight");
     backend.record_attempt_end();
     assert!(backend.is_gone());
 }
 
 #[test]
-fn a_weight_alone_is_no_change_of_the_list() {
+fn a_new_weight_alone_does_not_count_as_a_change_of_the_endpoint() {
     let mut backend = backend_with(1.0, f64::INFINITY);
     let heavier = Endpoint {
         weight: 2.0,
--- a/crates/balancer/src/backends/health/tests.rs
+++ b/crates/balancer/src/backends/health/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::test_fixtures::{SECOND, START};
 
-/// Ejects the backend; returns how long that lasts.
+/// Ejects the backend and ends the ejection when it is due; returns how long it lasted.
 fn ejection_time(health: &mut BackendHealth, now: Time) -> Micros {
     assert!(health.eject(now, 1.0));
     let until = health.ejected_until.expect("ejected");
--- a/crates/balancer/src/backends/machine_type/tests.rs
+++ b/crates/balancer/src/backends/machine_type/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_position_picks_each_backend_by_its_local_share() {
+fn a_position_picks_each_backend_in_proportion_to_its_local_share() {
     let mut machine_type = MachineType::default();
     assert_eq!(machine_type.backend_at(0.5), None);
     for (id, share) in [(1, 0.1), (2, 0.3)] {
@@ -20,7 +20,7 @@
     assert_eq!(
         machine_type.flow_per_backend(Some(100.0)),
         0.0,
-        "none ready"
+        "no backend is ready"
     );
     machine_type.add_readiness(4.0);
     assert_eq!(machine_type.flow_per_backend(Some(100.0)), 12.5);
--- a/crates/balancer/src/backends/outlier_detection.rs
+++ b/crates/balancer/src/backends/outlier_detection.rs
@@ -1,5 +1,8 @@
-//! Outlier detection: a backend that fails, is slow or does not respond is picked less or ejected
-//! for a while.
+//! Outlier detection: a backend that fails, is slow or does not respond is picked less often or
+//! ejected for a while.
+//!
+//! Several rules depend on the request interval: the mean time between two requests of this proxy
+//! to the same backend.
 
 use super::BackendTable;
 use crate::estimation::{LatencyEstimates, EPSILON};
@@ -7,55 +10,62 @@
 use crate::requests::InFlightAttempt;
 use crate::{AttemptEnd, BackendId, Micros, Outcome, Time};
 
-/// A backend is ejected above this error rate. Where visits are frequent, two consecutive errors
-/// exceed it; where they are more than 2.4 s apart, one does.
+/// A backend is ejected above this error rate. At short request intervals, two consecutive errors
+/// exceed it; at request intervals above 2.4 s, a single error does.
 const ERROR_RATE_LIMIT: f64 = 0.3;
-/// The same where the newest attempt was rejected: a backend that takes some requests is used for
-/// those.
+/// After a rejection, a backend is ejected above this error rate. The limit is higher than
+/// [`ERROR_RATE_LIMIT`] because a backend that accepts only some requests can still serve those.
 const REJECTION_RATE_LIMIT: f64 = 0.7;
-/// Least weight of the newest outcome in a backend's error rate: the rarer the visits, the more it
-/// weighs.
+/// Minimum weight of the newest outcome in a backend's error rate. The weight grows with the
+/// request interval.
 const MIN_OUTCOME_WEIGHT: f64 = 0.2;
-/// Greatest weight of the newest outcome: one rejection alone stays under [`REJECTION_RATE_LIMIT`].
+/// Maximum weight of the newest outcome in a backend's error rate. It keeps a single rejection
+/// below [`REJECTION_RATE_LIMIT`].
 const MAX_OUTCOME_WEIGHT: f64 = 0.6;
-/// Age at which an outcome says nothing more of a backend, s: faults come and go within that.
+/// Age from which an outcome no longer says anything about the backend, in seconds: faults appear
+/// and disappear within this time.
 const OUTCOME_MEMORY: f64 = 8.0;
-/// An attempt this many times older than usual, with no later response, marks its backend as
-/// unresponsive.
+/// Multiple of the typical latency of its class after which an attempt in flight marks its backend
+/// as unresponsive, if the backend has not responded to anything since the dispatch.
 const UNRESPONSIVE_AFTER: f64 = 6.0;
-/// A seldom visited backend is suspect once an attempt has taken this fraction of the time from an
-/// unloaded response to the objective. It is slow then, or so overloaded that it stays slow until
-/// all proxies avoid it.
+/// An attempt makes its backend suspect if it takes longer than the latency of an unloaded response
+/// plus this fraction of the time from there to the latency objective. The backend is then slow, or
+/// so overloaded that it stays slow until all proxies avoid it. The rule applies only if the
+/// request interval is known and long enough to matter; see [`OutlierDetector::request_interval`].
 const SLOW_FRACTION: f64 = 0.5;
-/// Duration of a first ejection before jitter, s, where visits are frequent.
+/// Minimum duration of a first ejection before jitter, in seconds. It applies at short request
+/// intervals.
 const BASE_EJECTION_SECONDS: f64 = 1.0;
-/// Lower bound of that duration, in visit intervals. A return costs a request, so where visits are
-/// rare it must come later than the next visit.
+/// Minimum duration of a first ejection before jitter, in request intervals. Every return of a
+/// faulty backend costs a request, so at long request intervals an ejected backend must return
+/// later than its next request would have been sent without the ejection.
 const BASE_EJECTION_VISITS: f64 = 1.5;
-/// Smallest random factor on the duration of an ejection: backends that were ejected together
-/// return one after the other.
+/// Minimum of the random factor on the duration of an ejection. The jitter makes backends that were
+/// ejected together return one after the other.
 const MIN_EJECTION_JITTER: f64 = 0.75;
-/// Width of the range of that factor.
+/// Width of the range of the random factor on the duration of an ejection.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
 
 /// Finds faulty backends.
 ///
-/// It owns the time between two visits and the list of unresponsive backends. What it learns of a
-/// backend is kept in that backend's [`BackendHealth`](super::health::BackendHealth).
+/// It owns the request interval and the list of unresponsive backends. What it learns about a
+/// backend is stored in that backend's [`BackendHealth`](super::health::BackendHealth).
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
-    /// Seconds between two requests of this proxy to the same backend, on average. It is 0 while
-    /// the rate is not known, and where few proxies share each backend and visit it often: then
-    /// slow backends are not marked, and each outcome has the least weight.
+    /// Mean time between two requests of this proxy to the same backend, in seconds, at most
+    /// [`OUTCOME_MEMORY`]. It is 0 while the request rate is unknown, and if few proxies share each
+    /// backend and therefore send to it often. At 0, slow backends are not marked as suspect and
+    /// each outcome has the minimum weight.
     visit_interval: f64,
-    /// The backends whose mark [`clear_unresponsive`](Self::clear_unresponsive) has to take off.
-    /// One occurs for each overdue attempt, and may have lost its mark by a restart.
+    /// The backends whose unresponsive mark [`clear_unresponsive`](Self::clear_unresponsive) has to
+    /// remove. A backend is listed once for each overdue attempt, and may have lost its mark
+    /// already because its process restarted.
     unresponsive: Vec<BackendId>,
 }
 
 impl OutlierDetector {
-    /// Computes the time between two visits to a backend from the rate of this proxy's requests;
-    /// `None` if the rate is not known, or if few proxies share each backend.
+    /// Computes the request interval. `rate` is the requests per second of this proxy to all
+    /// backends together, `None` if it is unknown or if few proxies share each backend.
     pub fn update_visit_interval(&mut self, ready_backends: usize, rate: Option<f64>) {
         let interval = match rate {
             Some(rate) => ready_backends as f64 / rate.max(EPSILON),
@@ -64,7 +74,8 @@
         self.visit_interval = interval.min(OUTCOME_MEMORY);
     }
 
-    /// Learns from the outcome of an attempt about its backend; returns whether that was ejected.
+    /// Updates the health of a backend by the outcome of an attempt; returns whether the backend
+    /// was ejected.
     pub fn record_outcome(
         &mut self,
         now: Time,
@@ -90,7 +101,8 @@
                 false
             }
             Outcome::Cancelled | Outcome::NotSent => false,
-            // Other responses came meanwhile: the request was heavy rather than the backend faulty.
+            // The backend has responded since the dispatch, so it is probably not faulty: the
+            // request was heavy.
             Outcome::TimedOut if health.last_response_at() >= attempt.sent_at => false,
             Outcome::Error | Outcome::Rejected | Outcome::Reset => {
                 health.record_error(now, weight);
@@ -103,12 +115,13 @@
         }
     }
 
-    /// The weight of the newest outcome in a backend's error rate.
+    /// Returns the weight of the newest outcome in a backend's error rate.
     fn outcome_weight(&self) -> f64 {
         (self.visit_interval / OUTCOME_MEMORY).clamp(MIN_OUTCOME_WEIGHT, MAX_OUTCOME_WEIGHT)
     }
 
-    /// Whether an attempt that has taken `elapsed` makes its backend suspect.
+    /// Whether a served attempt that took `elapsed` makes its backend suspect; see
+    /// [`SLOW_FRACTION`].
     fn is_slow(
         &self,
         attempt: &InFlightAttempt,
@@ -123,7 +136,8 @@
         elapsed > latencies.latency_within_objective(baseline, attempt.class, SLOW_FRACTION)
     }
 
-    /// Ejects a backend unless an ejection is under way; returns whether it did.
+    /// Ejects a backend unless its previous ejection is still in effect; returns whether a new
+    /// ejection has begun.
     fn eject(&self, now: Time, id: BackendId, backends: &mut BackendTable, rng: &mut Rng) -> bool {
         let jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * rng.unit();
         let base_duration = BASE_EJECTION_SECONDS.max(self.visit_interval * BASE_EJECTION_VISITS);
@@ -137,7 +151,7 @@
         is_ejected
     }
 
-    /// Takes the marks off the unresponsive backends; returns whether there were any.
+    /// Removes the marks of the unresponsive backends; returns whether there were any.
     pub fn clear_unresponsive(&mut self, backends: &mut BackendTable) -> bool {
         let marked = std::mem::take(&mut self.unresponsive);
         for id in &marked {
@@ -148,8 +162,8 @@
         !marked.is_empty()
     }
 
-    /// Judges a backend by an attempt that is in flight on it; returns when that has to be done
-    /// again.
+    /// Marks the backend of an attempt in flight as suspect or unresponsive if the attempt has
+    /// taken too long. Returns the time at which the attempt has to be checked again.
     pub fn check_attempt(
         &mut self,
         now: Time,
@@ -187,7 +201,7 @@
     }
 }
 
-/// Error rate from which a backend is ejected after an attempt with this outcome.
+/// Returns the error rate above which a backend is ejected after an attempt with this outcome.
 fn error_rate_limit(outcome: Outcome) -> f64 {
     if outcome == Outcome::Rejected {
         REJECTION_RATE_LIMIT
--- a/crates/balancer/src/backends/outlier_detection/tests.rs
+++ b/crates/balancer/src/backends/outlier_detection/tests.rs
@@ -4,7 +4,7 @@
 
 const BACKEND: BackendId = BackendId(1);
 
-/// A detector alone, with one backend that it judges.
+/// A detector without a balancer, with one backend.
 struct Setup {
     detector: OutlierDetector,
     backends: BackendTable,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Ends an attempt that was sent at the start; returns whether the backend was ejected.
+    /// Ends an attempt that was sent at [`START`]; returns whether the backend was ejected.
     fn end_attempt(&mut self, now: Time, outcome: Outcome) -> bool {
         let end = AttemptEnd {
             request: RequestId(1),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn two_errors_close_together_eject_a_backend() {
+fn two_consecutive_errors_eject_a_backend() {
     let mut setup = Setup::new();
     assert!(!setup.end_attempt(START, Outcome::Error));
     assert!(setup.is_usable());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn one_rejection_ejects_no_backend_however_rare_the_visits() {
+fn a_single_rejection_ejects_no_backend_even_at_long_request_intervals() {
     let mut setup = Setup::new();
     setup.detector.update_visit_interval(1_000, Some(0.1));
     assert!(!setup.end_attempt(START, Outcome::Rejected));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_time_out_ejects_unless_another_response_came_meanwhile() {
+fn a_timeout_ejects_a_backend_that_has_not_responded_since_the_dispatch() {
     let mut setup = Setup::new();
     setup.end_attempt(START + SECOND, Outcome::Success);
     assert!(!setup.end_attempt(START + SECOND, Outcome::TimedOut));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_backend_without_a_response_for_long_is_unresponsive_until_the_next_check() {
+fn an_overdue_attempt_marks_its_backend_as_unresponsive_until_the_mark_is_cleared() {
     let mut setup = Setup::new();
     let overdue_at = START
         + setup
--- a/crates/balancer/src/backends/speed.rs
+++ b/crates/balancer/src/backends/speed.rs
@@ -1,69 +1,75 @@
-//! The speed of a machine type, estimated from the latency of its responses and from its load.
+//! The speed of a machine type: the requests per second that one of its backends can serve. It is
+//! estimated from the latency of responses and from the traffic to each backend.
 
 use crate::estimation::RunningMean;
 use crate::peers::TARGET_CONCURRENCY;
 
-/// Memory of the speed, s: a machine's speed changes seldom, the rate from which it is computed
-/// changes all the time.
+/// Time over which the speed is smoothed, in seconds. The speed of a machine rarely changes, but
+/// the request rate from which it is computed changes all the time.
 const SPEED_MEMORY: f64 = 10.0;
-/// Multiple of the mean latency up to which one response counts.
+/// Multiple of the mean latency to which the latency of a single response is clipped.
 const LATENCY_CLIP: f64 = 3.0;
-/// Below this many responses a new speed replaces the old one. From then on it is smoothed over
-/// [`SPEED_MEMORY`].
+/// Number of responses from which the speed is smoothed over [`SPEED_MEMORY`]. With fewer
+/// responses, each new estimate replaces the previous one.
 const MIN_SAMPLES_TO_SMOOTH: f64 = 10.0;
-/// Relative rise of the baseline latency and of the proven speed, per second. A mean that is taken
-/// over at once may be that of an overloaded start.
+/// Maximum relative rise per second of the baseline latency and of the proven speed. A higher mean
+/// that was adopted immediately could come from a start under overload.
 const RISE_PER_SECOND: f64 = 0.03;
 
-/// The latency and the speed of the backends of one machine type.
+/// Estimates of the latency and the speed of the backends of one machine type.
 ///
-/// It owns the estimates. The traffic that goes to each backend is passed in.
+/// This type owns the estimates. The caller passes in the traffic to each backend.
 #[derive(Default)]
 pub(crate) struct SpeedEstimate {
-    /// Seconds from dispatch to response, of served requests only, with the class mix taken out.
+    /// Mean time from dispatch to response in seconds, of served requests only. Each sample is
+    /// normalized to a mean request, so that the mix of classes has no effect.
     latency: RunningMean,
-    /// Lowest recent mean latency, s: that of an unloaded backend.
+    /// Lowest recent mean latency in seconds, taken as the latency of an unloaded backend.
     baseline_latency: Option<f64>,
-    /// Requests per second that one backend could serve; 0 while nothing is known.
+    /// Requests per second that one backend can serve; 0 while unknown.
     speed: f64,
-    /// Like `speed`, but it rises slowly. A sudden rise of the rate, or backends that leave, make
-    /// no backend faster.
+    /// Like `speed`, but it rises by at most [`RISE_PER_SECOND`]. A sudden rise of the request rate
+    /// and the removal of backends both raise the traffic to each backend, and with it `speed`,
+    /// although no backend has become faster.
     proven_speed: f64,
 }
 
 impl SpeedEstimate {
-    /// Requests per second that one backend could serve; 0 while nothing is known.
+    /// Returns the requests per second that one backend can serve; 0 while unknown.
     pub fn speed(&self) -> f64 {
         self.speed
     }
 
-    /// Lowest recent mean latency, s, as that of an unloaded backend.
+    /// Returns the lowest recent mean latency in seconds, taken as that of an unloaded backend.
+    /// `None` before the first [`update_baseline`](Self::update_baseline).
     pub fn baseline_latency(&self) -> Option<f64> {
         self.baseline_latency
     }
 
-    /// A conservative estimate of the requests per second that one backend can serve; `None` before
-    /// any response.
+    /// Returns a conservative estimate of the requests per second that one backend can serve;
+    /// `None` before the first response.
     ///
-    /// The estimate of speed includes the traffic per backend, which is too high while few backends
-    /// are ready. A backend with at most [`TARGET_CONCURRENCY`] requests in flight beside a new one
-    /// cannot be faster than that concurrency divided by its latency (Little's law).
+    /// The speed estimate includes the traffic to each backend, which is too high while few
+    /// backends are ready. It is therefore capped by Little's law: a backend that has at most
+    /// [`TARGET_CONCURRENCY`] other requests in flight when a new one arrives cannot serve more
+    /// than (1 + [`TARGET_CONCURRENCY`]) / latency requests per second.
     pub fn safe_speed(&self) -> Option<f64> {
         let latency = self.latency.get()?;
         let speed_at_target = (1.0 + TARGET_CONCURRENCY) / latency;
         Some(self.proven_speed.min(speed_at_target))
     }
 
-    /// Learns from the latency of a served request, s, with the class mix taken out.
+    /// Records the latency of a served request in seconds, normalized to a mean request.
     pub fn record_latency(&mut self, seconds: f64) {
-        // Faulty backends respond late. A few such responses must not make the whole machine type
-        // look slow.
+        // A faulty backend responds late. The samples are clipped so that a few late responses do
+        // not make the entire machine type look slow.
         let longest_counted = self.latency.get().unwrap_or(seconds) * LATENCY_CLIP;
         self.latency.add(seconds.min(longest_counted));
     }
 
-    /// Lets the baseline follow a lower mean at once and rise slowly towards a higher one.
-    /// `assumed_latency`, s, is the baseline before any response.
+    /// Updates the baseline latency: it follows a lower mean immediately and rises slowly towards a
+    /// higher one. `elapsed` is the time since the last update in seconds; `assumed_latency` is the
+    /// baseline before any response, in seconds.
     pub fn update_baseline(&mut self, elapsed: f64, assumed_latency: f64) {
         let risen = match self.baseline_latency {
             Some(baseline) => baseline * (1.0 + RISE_PER_SECOND * elapsed),
@@ -76,17 +82,20 @@
         self.baseline_latency = Some(lowest);
     }
 
-    /// Learns the speed from the latency and from `flow`, the requests per second that all proxies
-    /// send to each backend. A processor that is shared by its requests (M/G/1/PS) responds after
-    /// T = 1 / (speed - flow), so that speed = 1 / T + flow.
+    /// Estimates the speed from the mean latency T and from `flow`, the requests per second that
+    /// all proxies together send to each backend. `elapsed` is the time since the last estimate in
+    /// seconds.
+    ///
+    /// The model is a processor that its requests share equally (M/G/1/PS). Its mean latency is
+    /// T = 1 / (speed - flow), hence speed = 1 / T + flow.
     pub fn update_speed(&mut self, elapsed: f64, flow: f64) {
         let speed = match self.latency.get() {
             Some(mean) => 1.0 / mean + flow,
             None => 0.0,
         };
-        // The estimate is smoothed, because the flow is only this proxy's own view of it. Without
-        // smoothing, a machine type with a large share would look ever faster, and the proxies
-        // would oscillate together.
+        // The estimate is smoothed because `flow` is only this proxy's own estimate of the traffic.
+        // Without smoothing, a machine type with a large share would look faster and faster, and
+        // the shares of all proxies would oscillate in step.
         let weight = if self.latency.count() < MIN_SAMPLES_TO_SMOOTH {
             1.0
         } else {
@@ -99,7 +108,7 @@
         self.proven_speed = if is_first { speed } else { smoothed.min(risen) };
     }
 
-    /// Assumes a speed where nothing is known.
+    /// Sets the speed to an assumed value, in requests per second, if it is unknown.
     pub fn assume_speed(&mut self, speed: f64) {
         if self.speed == 0.0 {
             self.speed = speed;
--- a/crates/balancer/src/backends/speed/tests.rs
+++ b/crates/balancer/src/backends/speed/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_shared_processor_is_as_fast_as_its_latency_and_its_flow_tell() {
+fn the_speed_is_the_inverse_of_the_latency_plus_the_flow() {
     let mut estimate = estimate_with_latency(0.1);
     assert_eq!(estimate.safe_speed(), Some(0.0));
     estimate.update_speed(10.0, 30.0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_rising_flow_makes_no_backend_faster_than_its_latency_allows() {
+fn the_safe_speed_is_capped_by_the_latency() {
     let mut estimate = estimate_with_latency(0.1);
     estimate.update_speed(10.0, 90.0);
     let safe_speed = estimate.safe_speed().expect("responses");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_baseline_falls_at_once_and_rises_slowly() {
+fn the_baseline_latency_falls_immediately_and_rises_slowly() {
     let mut estimate = SpeedEstimate::default();
     estimate.update_baseline(1.0, 0.3);
     assert_eq!(estimate.baseline_latency(), Some(0.3));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_late_response_counts_three_times_the_mean_at_most() {
+fn a_late_response_is_clipped_to_three_times_the_mean_latency() {
     let mut estimate = estimate_with_latency(0.1);
     estimate.record_latency(60.0);
     let mean = estimate.latency.get().expect("responses");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_speed_is_assumed_only_where_none_is_known() {
+fn an_assumed_speed_does_not_replace_a_known_speed() {
     let mut estimate = SpeedEstimate::default();
     estimate.assume_speed(7.0);
     estimate.assume_speed(8.0);
--- a/crates/balancer/src/backends/table.rs
+++ b/crates/balancer/src/backends/table.rs
@@ -6,16 +6,16 @@
 use crate::{BackendId, Config, Endpoint, EndpointUpdate, MachineTypeId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// If more than this fraction of the backends that the list has as ready is ejected, ejections are
-/// ignored (panic mode): so many failures at once are not the fault of single backends.
+/// If more than this fraction of the backends that are listed as ready is ejected, ejections are
+/// ignored (panic mode): so many simultaneous failures are not caused by individual backends.
 const PANIC_THRESHOLD: f64 = 0.5;
-/// Speed assumed where that of no machine type is known, in requests per second.
+/// Speed of every machine type while the speed of none is known, in requests per second.
 const ASSUMED_SPEED: f64 = 1.0;
 
 /// The backends and machine types that this proxy uses.
 ///
-/// It owns both. Outlier detection changes the health of backends through it. The computation of
-/// the shares, whose results are passed in, sets what each backend may be sent.
+/// It owns both. Outlier detection updates the health of backends through it. The computation of
+/// the shares passes in the limits of each backend.
 #[derive(Default)]
 pub(crate) struct BackendTable {
     backends: BTreeMap<BackendId, Backend>,
@@ -23,58 +23,60 @@
 }
 
 impl BackendTable {
-    /// A backend.
+    /// Returns a backend.
     pub fn get(&self, id: BackendId) -> Option<&Backend> {
         self.backends.get(&id)
     }
 
-    /// A backend whose record is to be changed.
+    /// Returns a backend for an update.
     pub fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.backends.get_mut(&id)
     }
 
-    /// All backends in the order of their ids.
+    /// Iterates over all backends in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         self.backends.iter().map(|(id, backend)| (*id, backend))
     }
 
-    /// Number of backends, those included that have left the list with attempts in flight.
+    /// Returns the number of backends. It includes removed backends that still have attempts in
+    /// flight.
     pub fn len(&self) -> usize {
         self.backends.len()
     }
 
-    /// A machine type.
+    /// Returns a machine type.
     pub fn machine_type(&self, id: MachineTypeId) -> Option<&MachineType> {
         self.machine_types.get(&id)
     }
 
-    /// All machine types in the order of their ids.
+    /// Iterates over all machine types in the order of their ids.
     pub fn machine_types(&self) -> impl Iterator<Item = (MachineTypeId, &MachineType)> {
         self.machine_types.iter().map(|(id, found)| (*id, found))
     }
 
-    /// The unloaded latency of a mean request on a backend, s: an assumption until responses came,
-    /// `None` before the first computation of the shares.
+    /// Returns the latency of a mean request on a backend without load, in seconds. It is an
+    /// assumed value until responses have arrived, and `None` before the first computation of the
+    /// shares or if the backend is unknown.
     pub fn baseline_latency(&self, id: BackendId) -> Option<f64> {
         let backend = self.backends.get(&id)?;
         let machine_type = self.machine_types.get(&backend.machine_type())?;
         machine_type.speed().baseline_latency()
     }
 
-    /// Sum of the readiness of all backends.
+    /// Returns the sum of the readiness of all backends.
     pub fn total_readiness(&self) -> f64 {
         let machine_types = self.machine_types.values();
         machine_types.map(MachineType::readiness).sum()
     }
 
-    /// The zones of all backends.
+    /// Returns the zones of all backends.
     pub fn zones(&self) -> BTreeSet<ZoneId> {
         let backends = self.backends.values();
         backends.map(|backend| backend.endpoint().zone).collect()
     }
 
-    /// Takes in an update of the endpoint list. Returns whether anything but weights changed, or a
-    /// complete list lacks a known backend.
+    /// Applies an update of the endpoint list. Returns whether anything but weights changed; a
+    /// known backend that is missing from a complete list counts as a change.
     pub fn apply_update(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> bool {
         let is_complete = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let mut has_changed = is_complete && self.mark_unlisted(&endpoints);
@@ -88,7 +90,8 @@
         has_changed
     }
 
-    /// Marks the backends that a complete list lacks as removed; returns whether there are any.
+    /// Marks the backends that are missing from a complete list as removed; returns whether there
+    /// are any.
     fn mark_unlisted(&mut self, endpoints: &[Endpoint]) -> bool {
         let listed: BTreeSet<BackendId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
         let mut is_any_unlisted = false;
@@ -101,7 +104,8 @@
         is_any_unlisted
     }
 
-    /// Learns from the latency of a served request, s, with the class mix taken out.
+    /// Records the latency of a request that a backend served, in seconds, normalized to a mean
+    /// request.
     pub fn record_latency(&mut self, id: BackendId, seconds: f64) {
         let Some(backend) = self.backends.get(&id) else {
             return;
@@ -113,8 +117,8 @@
         machine_type.speed_mut().record_latency(seconds);
     }
 
-    /// Computes the readiness of backends and machine types anew; returns how many backends the
-    /// endpoint list has as ready.
+    /// Computes the readiness of all backends and machine types, and ends ejections that are due.
+    /// Returns how many backends the endpoint list marks as ready.
     pub fn update_readiness(&mut self, now: Time, config: &Config) -> usize {
         let listed = self.backends.values().filter(|b| b.is_listed_as_ready());
         let ready_count = listed.clone().count();
@@ -137,8 +141,9 @@
         ready_count
     }
 
-    /// Estimates the speed of every machine type. `elapsed` is the time since the last estimate, s;
-    /// `fleet_rate` is the requests per second that all proxies send to these backends, if known.
+    /// Estimates the speed of every machine type. `elapsed` is the time since the last estimate and
+    /// `assumed_latency` the baseline latency before any response, both in seconds. `fleet_rate` is
+    /// the requests per second that all proxies together send to these backends, if known.
     pub fn estimate_speeds(&mut self, elapsed: f64, assumed_latency: f64, fleet_rate: Option<f64>) {
         for machine_type in self.machine_types.values_mut() {
             let flow = machine_type.flow_per_backend(fleet_rate);
@@ -152,7 +157,8 @@
         }
     }
 
-    /// Mean speed of the machine types whose speed is known: one without data counts as that fast.
+    /// Returns the mean speed of the machine types whose speed is known, in requests per second. It
+    /// is assumed for the machine types without data.
     fn mean_known_speed(&self) -> f64 {
         let mut sum = 0.0;
         let mut count = 0.0;
@@ -170,7 +176,8 @@
         }
     }
 
-    /// Splits the traffic of all proxies between the machine types by HALB.
+    /// Splits the traffic of all proxies between the machine types by HALB. `fleet_rate` is as in
+    /// [`estimate_speeds`](Self::estimate_speeds).
     pub fn split_by_machine_type(&mut self, fleet_rate: Option<f64>) {
         let groups: Vec<MachineGroup> = self
             .machine_types
@@ -183,8 +190,8 @@
         }
     }
 
-    /// Sets what each backend may be sent; returns the fraction of the traffic that all proxies
-    /// together can place.
+    /// Sets the limits and shares of each backend to the result of `allocation_of`. Returns the
+    /// fraction of the traffic that all proxies together can place on the backends.
     pub fn allocate_all(
         &mut self,
         allocation_of: impl Fn(BackendId, &Backend, &MachineType) -> Allocation,
--- a/crates/balancer/src/backends/warmup.rs
+++ b/crates/balancer/src/backends/warmup.rs
@@ -1,13 +1,17 @@
-//! Warm-up: the capacity of a backend in slow start, by the time since its start. What proxies may
-//! send it in that time is computed in `routing/slow_start_quotas.rs`.
+//! Warm-up: the capacity of a backend in slow start, computed from the time since its process
+//! started. How much work the proxies may send to it meanwhile is computed in
+//! `routing/slow_start_quotas.rs`.
 
 use crate::{Config, Endpoint, Time};
 
-/// Shortest slow start that is computed with, s: it keeps the division finite.
+/// Lower bound of the slow-start duration, in seconds. It avoids a division by zero.
 const MIN_DURATION: f64 = 1e-6;
 
-/// The fraction of its capacity that a backend has at `now` if it needs `duration_fraction` of the
-/// configured slow start.
+/// Returns the fraction of its full capacity that a backend has at `now`, assuming that it needs
+/// `duration_fraction` of the configured slow-start duration to warm up.
+///
+/// The fraction rises linearly from [`Config::slow_start_floor`] to 1. It is 1 if the start of the
+/// process is unknown, because such a process started long ago.
 pub(crate) fn warmup_fraction(
     now: Time,
     config: &Config,
--- a/crates/balancer/src/requests.rs
+++ b/crates/balancer/src/requests.rs
@@ -1,5 +1,5 @@
-//! Requests that are owed a response: the requests themselves, their attempts, and the queue of
-//! those that wait for a backend.
+//! Open requests, which have no final response yet: the requests themselves, their attempts, and
+//! the queue of the requests that wait for a backend.
 
 mod queue;
 mod request;
--- a/crates/balancer/src/requests/queue/tests.rs
+++ b/crates/balancer/src/requests/queue/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_densest_is_sent_first_and_the_newest_among_equals() {
+fn requests_are_sent_by_density_and_the_newest_first_among_equals() {
     let older = START;
     let newer = START + SECOND;
     let mut waiting = [
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_blocked_low_priority_request_leaves_the_queue_open_to_others() {
+fn a_blocked_low_priority_request_does_not_block_normal_priority() {
     let mut queue = RequestQueue::default();
     queue.push(RequestId(1));
     let low_priority = low_priority_request();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_blocked_request_of_full_weight_blocks_all_first_attempts_until_capacity_is_free() {
+fn a_blocked_normal_priority_request_blocks_all_first_attempts_until_unblocked() {
     let mut queue = RequestQueue::default();
     queue.push(RequestId(1));
     queue.block_up_to_priority_of(&request(START));
--- a/crates/balancer/src/requests/request.rs
+++ b/crates/balancer/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! A request that is owed a response, and its attempts.
+//! An open request, which has no final response yet, and its attempts.
 
 use crate::admission::RequestWeight;
 use crate::{Arrival, ClassId, Endpoint, Micros, Time};
@@ -9,14 +9,15 @@
     pub endpoint: Endpoint,
     /// When the attempt was dispatched.
     pub sent_at: Time,
-    /// The attempt has not ended yet.
+    /// Whether the attempt has not ended yet.
     pub in_flight: bool,
-    /// The outcome proves that the backend did not execute the request.
+    /// Whether the outcome proves that the backend did not execute the request. It is `false` while
+    /// the attempt is in flight.
     pub not_executed: bool,
 }
 
 impl Attempt {
-    /// An attempt that is dispatched now.
+    /// Creates an attempt that is in flight from `sent_at`.
     pub fn new(endpoint: Endpoint, sent_at: Time) -> Attempt {
         Attempt {
             endpoint,
@@ -27,28 +28,30 @@
     }
 }
 
-/// A request that is owed a response.
+/// An open request, which has no final response yet.
 ///
-/// It owns its attempts. The [`RequestTable`](super::RequestTable) changes it; all others read it.
+/// It owns its attempts. Only the [`RequestTable`](super::RequestTable) modifies it.
 pub(crate) struct Request {
-    /// Its traffic class.
+    /// The traffic class.
     pub class: ClassId,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Time,
-    /// When its latency objective ends.
+    /// The time by which the request is to be served to meet its latency objective. It is no later
+    /// than the deadline.
     pub objective_at: Time,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Time,
-    /// How much serving it is worth beside other requests of its class.
+    /// The value of serving the request relative to other requests of its class.
     pub weight: RequestWeight,
-    /// The response to an attempt is being streamed to the client.
+    /// Whether the response to an attempt is being streamed to the client.
     pub streaming: bool,
-    /// Its attempts in the order of dispatch.
+    /// The attempts in the order of dispatch.
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// A request without attempts that arrives now and is to be served within `objective`.
+    /// Creates a request without attempts that arrives at `now`. Its latency objective is
+    /// `objective`, or the time until the client gives up if that is shorter.
     pub fn new(now: Time, arrival: &Arrival, objective: Micros, weight: RequestWeight) -> Request {
         Request {
             class: arrival.class,
@@ -61,12 +64,12 @@
         }
     }
 
-    /// The time that it had until its objective when it arrived.
+    /// Returns the time from the arrival until the latency objective.
     pub fn objective(&self) -> Micros {
         self.objective_at - self.arrived_at
     }
 
-    /// Whether any attempt has not ended yet.
+    /// Whether an attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
@@ -76,8 +79,9 @@
         self.attempts.is_empty()
     }
 
-    /// Whether the next attempt takes a token of the retry budget. An attempt that was not executed
-    /// cost no work, so the budget only counts requests with any other attempt.
+    /// Whether the next attempt takes a token from the retry budget. Attempts that were not
+    /// executed cost the backends no work, so a token is needed only if any other attempt has been
+    /// dispatched.
     pub fn needs_retry_budget(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.not_executed)
     }
--- a/crates/balancer/src/requests/table.rs
+++ b/crates/balancer/src/requests/table.rs
@@ -4,19 +4,19 @@
 use crate::{AttemptEnd, AttemptNumber, BackendId, ClassId, Endpoint, RequestId, Time};
 use std::collections::BTreeMap;
 
-/// An attempt that has not ended yet, as admission control and outlier detection watch it.
+/// An attempt in flight, with the data that admission control and outlier detection need.
 pub(crate) struct InFlightAttempt {
     /// The backend that the attempt was sent to.
     pub backend: BackendId,
     /// The traffic class of its request.
     pub class: ClassId,
-    /// When it was dispatched.
+    /// When the attempt was dispatched.
     pub sent_at: Time,
-    /// Admission control has already counted it as late.
+    /// Whether admission control has already counted the attempt as late.
     pub counted_late: bool,
 }
 
-/// Identifies an attempt among those of all requests.
+/// Identifies an attempt among the attempts of all requests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptId {
     request: RequestId,
@@ -25,10 +25,11 @@
 
 /// The open requests and their attempts in flight.
 ///
-/// It owns both. An attempt in flight of an open request is recorded twice: with its request, for
-/// the retry policy, and among those in flight, where it outlives its request. At the end of an
-/// attempt [`take_in_flight`](Self::take_in_flight) and then
-/// [`record_attempt_end`](Self::record_attempt_end) must be called.
+/// It owns both. An attempt in flight of an open request is recorded twice: in its request, for the
+/// retry policy, and in the map of attempts in flight, where it stays until it ends even if its
+/// request is closed. When an attempt ends, the caller must call
+/// [`take_in_flight`](Self::take_in_flight) and then
+/// [`record_attempt_end`](Self::record_attempt_end).
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -41,27 +42,27 @@
         self.requests.contains_key(&id)
     }
 
-    /// An open request.
+    /// Returns an open request.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    /// The open requests in the order of their ids.
+    /// Iterates over the open requests in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> {
         self.requests.iter().map(|(id, request)| (*id, request))
     }
 
-    /// The attempts in flight in the order of their requests.
+    /// Iterates over the attempts in flight in the order of their requests' ids.
     pub fn in_flight(&self) -> impl Iterator<Item = &InFlightAttempt> {
         self.in_flight.values()
     }
 
-    /// The same for those that mark attempts as late.
+    /// Iterates over the attempts in flight in the same order, to mark attempts as counted late.
     pub fn in_flight_mut(&mut self) -> impl Iterator<Item = &mut InFlightAttempt> {
         self.in_flight.values_mut()
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
@@ -71,12 +72,12 @@
         self.requests.insert(id, request);
     }
 
-    /// Closes a request. Its attempts in flight stay in the table until they end.
+    /// Closes a request and returns it. Its attempts in flight stay in the table until they end.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         self.requests.remove(&id)
     }
 
-    /// Records an attempt that the host has been asked to send.
+    /// Records an attempt that the host is requested to send to `endpoint`.
     pub fn record_dispatch(&mut self, now: Time, id: RequestId, endpoint: &Endpoint) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -95,7 +96,8 @@
         self.in_flight.insert(attempt_id, in_flight);
     }
 
-    /// Records that the response to an attempt in flight has begun to stream.
+    /// Records that the response to an attempt is being streamed to the client. Attempts that are
+    /// not in flight are ignored.
     pub fn record_stream(&mut self, request: RequestId, attempt: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&request) else {
             return;
@@ -104,7 +106,8 @@
         request.streaming |= attempt.is_some_and(|attempt| attempt.in_flight);
     }
 
-    /// Takes an attempt that has ended out of those in flight.
+    /// Removes an attempt that has ended from the attempts in flight and returns it; `None` if it
+    /// was not in flight.
     pub fn take_in_flight(&mut self, end: &AttemptEnd) -> Option<InFlightAttempt> {
         let id = AttemptId {
             request: end.request,
@@ -113,7 +116,7 @@
         self.in_flight.remove(&id)
     }
 
-    /// Records how an attempt ended; returns its request unless that is closed.
+    /// Records how an attempt ended in its request. Returns the request, or `None` if it is closed.
     pub fn record_attempt_end(&mut self, end: &AttemptEnd) -> Option<&Request> {
         let request = self.requests.get_mut(&end.request)?;
         if let Some(attempt) = request.attempts.get_mut(end.attempt.0 as usize) {
--- a/crates/balancer/src/requests/table/tests.rs
+++ b/crates/balancer/src/requests/table/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_attempt_in_flight_outlives_its_closed_request() {
+fn an_attempt_stays_in_flight_after_its_request_is_closed() {
     let mut table = table_with_one_attempt();
     table.remove(REQUEST);
     assert!(!table.contains(REQUEST));
@@ -33,11 +33,14 @@
     let attempt = table.take_in_flight(&end).expect("in flight");
     assert_eq!(attempt.backend, BackendId(7));
     assert!(table.record_attempt_end(&end).is_none());
-    assert!(table.take_in_flight(&end).is_none(), "it ends once");
+    assert!(
+        table.take_in_flight(&end).is_none(),
+        "the attempt can end only once"
+    );
 }
 
 #[test]
-fn an_outcome_tells_whether_the_attempt_may_have_been_executed() {
+fn only_an_attempt_that_may_have_been_executed_needs_retry_budget() {
     for (outcome, needs_budget) in [(Outcome::Rejected, false), (Outcome::Reset, true)] {
         let mut table = table_with_one_attempt();
         let request = table.record_attempt_end(&end(outcome)).expect("open");
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,5 +1,5 @@
 //! Retries and hedged requests: whether another attempt is safe and allowed, and until when a
-//! response is of use.
+//! response is still useful.
 
 mod budget;
 mod deadlines;
--- a/crates/balancer/src/retry/deadlines/tests.rs
+++ b/crates/balancer/src/retry/deadlines/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_late_weight_lets_a_sent_request_wait_for_its_deadline() {
+fn a_sent_request_with_a_late_weight_is_overdue_by_its_deadline_not_its_objective() {
     let mut config = Config::example();
     config.classes[0].late_weight = 0.5;
     let sent = tried_request(START, &[1]);
--- a/crates/balancer/src/retry/policy.rs
+++ b/crates/balancer/src/retry/policy.rs
@@ -1,10 +1,11 @@
-//! Retry safety: whether a request may have another attempt, where, and what it may be told.
+//! Retry safety: whether and to which backends a request may be sent again, and whether its client
+//! may be told that a retry is safe.
 
 use crate::requests::{Attempt, Request};
 use crate::{Class, Config, Endpoint, Idempotency, KeyScope, Time};
 
-/// Whether and where a request may have its next attempt, and what its client may be told. It reads
-/// the configuration and the idempotency of the request's class.
+/// The rules for further attempts of one request and for its final response. They follow from the
+/// configuration, the idempotency of the request's class and the earlier attempts.
 pub(crate) struct RetryPolicy<'a> {
     config: &'a Config,
     request: &'a Request,
@@ -12,7 +13,7 @@
 }
 
 impl<'a> RetryPolicy<'a> {
-    /// The rules for a request.
+    /// Creates the rules for a request.
     pub fn new(config: &'a Config, request: &'a Request) -> RetryPolicy<'a> {
         let class: &Class = &config.classes[request.class.0];
         RetryPolicy {
@@ -22,7 +23,8 @@
         }
     }
 
-    /// Whether one more attempt is safe and allowed now, wherever it goes.
+    /// Whether one more attempt is safe and allowed now. Its backend must also satisfy
+    /// [`allows_backend`](Self::allows_backend).
     pub fn allows_attempt(&self, now: Time) -> bool {
         let may_run_beside = self.config.hedging_allowed || !self.request.is_in_flight();
         let attempts_left = self.request.attempts.len() < self.config.max_attempts as usize;
@@ -32,8 +34,8 @@
             && attempts.all(|attempt| attempt.not_executed || self.is_repeatable(now, attempt))
     }
 
-    /// Whether executing the request again does no harm, although this attempt may have run. An
-    /// idempotency key has to last for one more tick, in which the next attempt is sent.
+    /// Whether the request may be executed again although this attempt may have been executed. An
+    /// idempotency key must remain valid for one more tick, within which the next attempt is sent.
     fn is_repeatable(&self, now: Time, attempt: &Attempt) -> bool {
         match self.idempotency {
             Idempotency::Idempotent => true,
@@ -44,9 +46,10 @@
         }
     }
 
-    /// Whether a further attempt may go to this backend: to none that had one already, and, if an
-    /// earlier attempt may have run, only to one that knows the idempotency keys of that attempt's
-    /// backend. A retry with an idempotency key would be executed twice elsewhere.
+    /// Whether a further attempt may go to this backend. It may not if the backend had an attempt
+    /// of this request already. If an earlier attempt may have been executed, the backend must also
+    /// share the idempotency keys of that attempt's backend; otherwise it would not recognize the
+    /// duplicate and would execute the request a second time.
     pub fn allows_backend(&self, endpoint: &Endpoint) -> bool {
         let mut attempts = self.request.attempts.iter();
         attempts.all(|attempt| {
@@ -56,8 +59,9 @@
         })
     }
 
-    /// Whether the request may be executed on `other` after `first` may have executed it. Only the
-    /// scope of idempotency keys restricts that.
+    /// Whether the request may be sent to `other` after `first` may have executed it. Only the
+    /// scope of idempotency keys restricts this; [`is_repeatable`](Self::is_repeatable) checks the
+    /// rest.
     fn may_repeat_on(&self, first: &Endpoint, other: &Endpoint) -> bool {
         match self.idempotency.key_scope() {
             Some(KeyScope::Zone) => first.zone == other.zone,
@@ -66,9 +70,12 @@
         }
     }
 
-    /// Until when the newest attempt may begin to be sent. Backends remember an idempotency key for
-    /// a while only, counted from the first attempt that may have run, and connecting can take
-    /// long.
+    /// Returns the latest time at which the newest attempt may begin to be sent; `None` if there is
+    /// no limit.
+    ///
+    /// Backends remember an idempotency key only for its window, which begins with the first
+    /// attempt that may have been executed. Establishing a connection can take longer than what
+    /// remains of the window.
     pub fn send_by(&self) -> Option<Time> {
         let Idempotency::IdempotencyKey { window, .. } = self.idempotency else {
             return None;
@@ -78,7 +85,8 @@
         may_have_run.map(|attempt| attempt.sent_at + window).min()
     }
 
-    /// Whether a client that is told that its request was rejected may safely send it again.
+    /// Whether the client may safely send the request again, so that the final response may be a
+    /// rejection.
     pub fn is_client_retry_safe(&self) -> bool {
         let is_repeatable_anywhere = match self.idempotency {
             Idempotency::Idempotent => true,
@@ -89,7 +97,7 @@
         is_repeatable_anywhere || attempts.all(|attempt| attempt.not_executed)
     }
 
-    /// Whether an attempt may be cancelled to make way for another one.
+    /// Whether an attempt in flight may be cancelled and replaced by another one.
     pub fn allows_replacement(&self) -> bool {
         self.config.cancellation_allowed && self.idempotency != Idempotency::NonIdempotent
     }
--- a/crates/balancer/src/retry/policy/tests.rs
+++ b/crates/balancer/src/retry/policy/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn only_what_was_not_executed_is_retried_for_a_non_idempotent_class() {
+fn a_non_idempotent_request_is_retried_only_if_it_was_not_executed() {
     let config = config(Idempotency::NonIdempotent);
     let mut request = tried_request(START, &[1]);
     let policy = RetryPolicy::new(&config, &request);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_with_a_key_is_retried_within_its_window_only() {
+fn a_request_with_an_idempotency_key_is_retried_only_within_its_window() {
     let config = with_key(KeyScope::All);
     let request = tried_request(START, &[1]);
     let policy = RetryPolicy::new(&config, &request);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_attempt_with_a_key_is_sent_within_the_window_of_the_first_that_may_have_run() {
+fn an_attempt_is_sent_within_the_key_window_of_the_first_attempt_that_may_have_run() {
     let config = with_key(KeyScope::All);
     let mut request = tried_request(START, &[1, 2]);
     request.attempts[1].sent_at = START + SECOND;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_retry_stays_in_the_scope_of_its_key() {
+fn a_retry_stays_within_the_scope_of_its_idempotency_key() {
     let same = endpoint(2);
     let other_cell = Endpoint {
         cell: CellId(1),
@@ -74,7 +74,7 @@
         let config = with_key(scope);
         let policy = RetryPolicy::new(&config, &request);
         assert!(policy.allows_backend(&same));
-        assert!(!policy.allows_backend(&endpoint(1)), "tried");
+        assert!(!policy.allows_backend(&endpoint(1)), "already tried");
         assert_eq!(policy.allows_backend(&other_cell), cell_allowed);
         assert_eq!(policy.allows_backend(&other_zone), zone_allowed);
         assert_eq!(policy.is_client_retry_safe(), scope == KeyScope::All);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn attempts_are_limited_in_number_and_beside_each_other() {
+fn the_number_of_attempts_and_hedging_are_limited_by_the_configuration() {
     let mut config = config(Idempotency::Idempotent);
     let mut request = tried_request(START, &[1, 2]);
     assert!(RetryPolicy::new(&config, &request).allows_attempt(START));
