--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -27,7 +27,7 @@
 const ADMISSION_STEP: f64 = 0.07;
 /// Number of steps by which a late response lowers the admitted fraction. With 2 steps, the
 /// fraction is stable while a third of the responses are late.
-const STEPS_DOWN: f64 = 2.0;
+const LATE_RESPONSE_STEPS: f64 = 2.0;
 /// Maximum rate of admitted requests, per second, at which a response changes the fraction by a
 /// full step. The step is smaller at higher rates, because the fraction must not change faster than
 /// the responses arrive that show the effect of the change.
@@ -48,7 +48,7 @@
     more_important: f64,
     /// Load of the requests that are equally important: those of the same class, or all requests of
     /// low priority.
-    own: f64,
+    equally_important: f64,
 }
 
 /// Decides which arriving requests are admitted.
@@ -117,7 +117,7 @@
             true
         } else {
             let load = self.competing_load(class, weight, config, latencies);
-            rng.unit() * load.own < self.admitted_fraction - load.more_important
+            rng.unit() * load.equally_important < self.admitted_fraction - load.more_important
         };
         // The shares are computed from the rate of admitted requests, because rejected requests do
         // not reach any backend. The rate includes requests that are admitted but cannot be placed.
@@ -137,7 +137,7 @@
         if weight.priority() == Priority::Low {
             return CompetingLoad {
                 more_important: high_priority_fraction,
-                own: self.low_priority_fraction,
+                equally_important: self.low_priority_fraction,
             };
         }
         let densities = self.mix.densities(config, latencies);
@@ -148,7 +148,7 @@
         let denser_load: f64 = denser.map(|index| loads[index]).sum();
         CompetingLoad {
             more_important: denser_load / total_load * high_priority_fraction,
-            own: loads[class.0] / total_load * high_priority_fraction,
+            equally_important: loads[class.0] / total_load * high_priority_fraction,
         }
     }
 
@@ -169,7 +169,7 @@
         // can recover.
         let change = match promptness {
             Promptness::Prompt => 1.0 + step,
-            Promptness::Late => 1.0 - STEPS_DOWN * step,
+            Promptness::Late => 1.0 - LATE_RESPONSE_STEPS * step,
         };
         let fraction = self.admitted_fraction * change;
         self.admitted_fraction = fraction.clamp(MIN_ADMITTED_FRACTION, MAX_ADMITTED_FRACTION);
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -99,13 +99,13 @@
 
 impl ClassTraffic {
     /// Returns the arrival share, but at least [`MIN_ARRIVAL_SHARE`].
-    fn counted_share(&self) -> f64 {
+    fn bounded_arrival_share(&self) -> f64 {
         self.arrival_share.max(MIN_ARRIVAL_SHARE)
     }
 
     /// Returns the fraction of the arrivals of this class that was served within the objective.
     fn on_time_fraction(&self) -> f64 {
-        self.on_time_share / self.counted_share()
+        self.on_time_share / self.bounded_arrival_share()
     }
 }
 
@@ -166,7 +166,7 @@
             let overall_gain = config.overall_goal_weight * class.priority_weight / mean_weight;
             let is_worst = traffic.on_time_fraction() <= worst_fraction + WORST_CLASS_MARGIN;
             let worst_class_gain = if is_worst {
-                config.worst_class_goal_weight / traffic.counted_share()
+                config.worst_class_goal_weight / traffic.bounded_arrival_share()
             } else {
                 0.0
             };
@@ -179,7 +179,7 @@
     fn mean_priority_weight(&self, config: &Config) -> f64 {
         let classes = config.classes.iter().zip(&self.classes);
         classes
-            .map(|(class, traffic)| class.priority_weight * traffic.counted_share())
+            .map(|(class, traffic)| class.priority_weight * traffic.bounded_arrival_share())
             .sum()
     }
 
--- a/crates/balancer/src/admission/tenant_quotas.rs
+++ b/crates/balancer/src/admission/tenant_quotas.rs
@@ -30,8 +30,8 @@
         let Some(tenant) = config.tenants.get(index) else {
             return false;
         };
-        let own_quota = tenant.quota_per_s / f64::from(config.proxy_count);
-        !self.buckets[index].take(now, own_quota)
+        let proxy_quota = tenant.quota_per_s / f64::from(config.proxy_count);
+        !self.buckets[index].take(now, proxy_quota)
     }
 }
 
--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -140,7 +140,7 @@
     /// the shares.
     pub fn update_endpoint(&mut self, endpoint: Endpoint) -> bool {
         if self.endpoint.started_at != endpoint.started_at {
-            self.forget_process();
+            self.reset_for_new_process();
         }
         let same_weight = Endpoint {
             weight: endpoint.weight,
@@ -153,7 +153,7 @@
 
     /// Discards what was learned about the previous process: a restarted process has only the
     /// address in common with it. Attempts in flight and work sent to that address still count.
-    fn forget_process(&mut self) {
+    fn reset_for_new_process(&mut self) {
         *self = Backend {
             in_flight: self.in_flight,
             recent_work: std::mem::take(&mut self.recent_work),
--- a/crates/balancer/src/backends/outlier_detection.rs
+++ b/crates/balancer/src/backends/outlier_detection.rs
@@ -24,10 +24,10 @@
 const MAX_OUTCOME_WEIGHT: f64 = 0.6;
 /// Age from which an outcome no longer says anything about the backend, in seconds: faults appear
 /// and disappear within this time.
-const OUTCOME_MEMORY: f64 = 8.0;
+const OUTCOME_MEMORY_SECS: f64 = 8.0;
 /// Multiple of the typical latency of its class after which an attempt in flight marks its backend
 /// as unresponsive, if the backend has not responded to anything since the dispatch.
-const UNRESPONSIVE_AFTER: f64 = 6.0;
+const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 6.0;
 /// An attempt makes its backend suspect if it takes longer than the latency of an unloaded response
 /// plus this fraction of the time from there to the latency objective. The backend is then slow, or
 /// so overloaded that it stays slow until all proxies avoid it. The rule applies only if the
@@ -35,11 +35,11 @@
 const SLOW_FRACTION: f64 = 0.5;
 /// Minimum duration of a first ejection before jitter, in seconds. It applies at short request
 /// intervals.
-const BASE_EJECTION_SECONDS: f64 = 1.0;
+const BASE_EJECTION_SECS: f64 = 1.0;
 /// Minimum duration of a first ejection before jitter, in request intervals. Every return of a
 /// faulty backend costs a request, so at long request intervals an ejected backend must return
 /// later than its next request would have been sent without the ejection.
-const BASE_EJECTION_VISITS: f64 = 1.5;
+const BASE_EJECTION_INTERVALS: f64 = 1.5;
 /// Minimum of the random factor on the duration of an ejection. The jitter makes backends that were
 /// ejected together return one after the other.
 const MIN_EJECTION_JITTER: f64 = 0.75;
@@ -53,10 +53,10 @@
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
     /// Mean time between two requests of this proxy to the same backend, in seconds, at most
-    /// [`OUTCOME_MEMORY`]. It is 0 while the request rate is unknown, and if few proxies share each
-    /// backend and therefore send to it often. At 0, slow backends are not marked as suspect and
-    /// each outcome has the minimum weight.
-    visit_interval: f64,
+    /// [`OUTCOME_MEMORY_SECS`]. It is 0 while the request rate is unknown, and if few proxies share
+    /// each backend and therefore send to it often. At 0, slow backends are not marked as suspect
+    /// and each outcome has the minimum weight.
+    request_interval: f64,
     /// The backends whose unresponsive mark [`clear_unresponsive`](Self::clear_unresponsive) has to
     /// remove. A backend is listed once for each overdue attempt, and may have lost its mark
     /// already because its process restarted.
@@ -71,7 +71,7 @@
             Some(rate) => ready_backends as f64 / rate.max(EPSILON),
             None => 0.0,
         };
-        self.visit_interval = interval.min(OUTCOME_MEMORY);
+        self.request_interval = interval.min(OUTCOME_MEMORY_SECS);
     }
 
     /// Updates the health of a backend by the outcome of an attempt; returns whether the backend
@@ -117,7 +117,7 @@
 
     /// Returns the weight of the newest outcome in a backend's error rate.
     fn outcome_weight(&self) -> f64 {
-        (self.visit_interval / OUTCOME_MEMORY).clamp(MIN_OUTCOME_WEIGHT, MAX_OUTCOME_WEIGHT)
+        (self.request_interval / OUTCOME_MEMORY_SECS).clamp(MIN_OUTCOME_WEIGHT, MAX_OUTCOME_WEIGHT)
     }
 
     /// Whether a served attempt that took `elapsed` makes its backend suspect; see
@@ -129,7 +129,7 @@
         backends: &BackendTable,
         latencies: &LatencyEstimates,
     ) -> bool {
-        if self.visit_interval == 0.0 {
+        if self.request_interval == 0.0 {
             return false;
         }
         let baseline = backends.baseline_latency(attempt.backend);
@@ -140,7 +140,7 @@
     /// ejection has begun.
     fn eject(&self, now: Time, id: BackendId, backends: &mut BackendTable, rng: &mut Rng) -> bool {
         let jitter = MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * rng.unit();
-        let base_duration = BASE_EJECTION_SECONDS.max(self.visit_interval * BASE_EJECTION_VISITS);
+        let base_duration = BASE_EJECTION_SECS.max(self.request_interval * BASE_EJECTION_INTERVALS);
         let Some(backend) = backends.get_mut(id) else {
             return false;
         };
@@ -174,8 +174,8 @@
         let baseline = backends.baseline_latency(attempt.backend);
         let slow_after = latencies.latency_within_objective(baseline, attempt.class, SLOW_FRACTION);
         let typical = latencies.typical(attempt.class);
-        let overdue_at = attempt.sent_at + typical.times(UNRESPONSIVE_AFTER);
-        let is_watched_for_slowness = self.visit_interval > 0.0;
+        let overdue_at = attempt.sent_at + typical.times(UNRESPONSIVE_LATENCY_MULTIPLE);
+        let is_watched_for_slowness = self.request_interval > 0.0;
         if let Some(backend) = backends.get_mut(attempt.backend) {
             let health = backend.health_mut();
             if is_watched_for_slowness && now - attempt.sent_at > slow_after {
--- a/crates/balancer/src/backends/outlier_detection/tests.rs
+++ b/crates/balancer/src/backends/outlier_detection/tests.rs
@@ -92,7 +92,7 @@
         + setup
             .latencies
             .typical(ClassId(0))
-            .times(UNRESPONSIVE_AFTER);
+            .times(UNRESPONSIVE_LATENCY_MULTIPLE);
     for (now, is_usable) in [(Time(overdue_at.0 - 1), true), (overdue_at, false)] {
         let Setup {
             detector,
--- a/crates/balancer/src/backends/readiness.rs
+++ b/crates/balancer/src/backends/readiness.rs
@@ -9,7 +9,7 @@
 
 /// Fraction of the configured slow-start duration that a backend probably needs. The configured
 /// duration is the longest of all machine types.
-const LIKELY_SLOW_START: f64 = 0.7;
+const LIKELY_SLOW_START_FRACTION: f64 = 0.7;
 
 /// Returns the readiness of a backend. `idle_weight` is the weight that the endpoint list gives an
 /// idle backend of the same machine type. In panic mode (`is_panic`), ejected backends are used as
@@ -22,7 +22,7 @@
     is_panic: bool,
 ) -> f64 {
     let endpoint = backend.endpoint();
-    let warmup = warmup_fraction(now, config, endpoint, LIKELY_SLOW_START);
+    let warmup = warmup_fraction(now, config, endpoint, LIKELY_SLOW_START_FRACTION);
     health_factor(backend, is_panic) * warmup * load_factor(config, endpoint, idle_weight)
 }
 
--- a/crates/balancer/src/backends/speed.rs
+++ b/crates/balancer/src/backends/speed.rs
@@ -6,15 +6,15 @@
 
 /// Time over which the speed is smoothed, in seconds. The speed of a machine rarely changes, but
 /// the request rate from which it is computed changes all the time.
-const SPEED_MEMORY: f64 = 10.0;
+const SPEED_MEMORY_SECS: f64 = 10.0;
 /// Multiple of the mean latency to which the latency of a single response is clipped.
-const LATENCY_CLIP: f64 = 3.0;
-/// Number of responses from which the speed is smoothed over [`SPEED_MEMORY`]. With fewer
+const LATENCY_CLIP_MULTIPLE: f64 = 3.0;
+/// Number of responses from which the speed is smoothed over [`SPEED_MEMORY_SECS`]. With fewer
 /// responses, each new estimate replaces the previous one.
 const MIN_SAMPLES_TO_SMOOTH: f64 = 10.0;
-/// Maximum relative rise per second of the baseline latency and of the proven speed. A higher mean
-/// that was adopted immediately could come from a start under overload.
-const RISE_PER_SECOND: f64 = 0.03;
+/// Maximum relative rise per second of the baseline latency and of the rise-limited speed. A higher
+/// mean that was adopted immediately could come from a start under overload.
+const MAX_RISE_PER_SECOND: f64 = 0.03;
 
 /// Estimates of the latency and the speed of the backends of one machine type.
 ///
@@ -28,10 +28,10 @@
     baseline_latency: Option<f64>,
     /// Requests per second that one backend can serve; 0 while unknown.
     speed: f64,
-    /// Like `speed`, but it rises by at most [`RISE_PER_SECOND`]. A sudden rise of the request rate
-    /// and the removal of backends both raise the traffic to each backend, and with it `speed`,
-    /// although no backend has become faster.
-    proven_speed: f64,
+    /// Like `speed`, but it rises by at most [`MAX_RISE_PER_SECOND`]. A sudden rise of the request
+    /// rate and the removal of backends both raise the traffic to each backend, and with it
+    /// `speed`, although no backend has become faster.
+    rise_limited_speed: f64,
 }
 
 impl SpeedEstimate {
@@ -56,14 +56,14 @@
     pub fn safe_speed(&self) -> Option<f64> {
         let latency = self.latency.get()?;
         let speed_at_target = (1.0 + TARGET_CONCURRENCY) / latency;
-        Some(self.proven_speed.min(speed_at_target))
+        Some(self.rise_limited_speed.min(speed_at_target))
     }
 
     /// Records the latency of a served request in seconds, normalized to a mean request.
     pub fn record_latency(&mut self, seconds: f64) {
         // A faulty backend responds late. The samples are clipped so that a few late responses do
         // not make the entire machine type look slow.
-        let longest_counted = self.latency.get().unwrap_or(seconds) * LATENCY_CLIP;
+        let longest_counted = self.latency.get().unwrap_or(seconds) * LATENCY_CLIP_MULTIPLE;
         self.latency.add(seconds.min(longest_counted));
     }
 
@@ -72,7 +72,7 @@
     /// baseline before any response, in seconds.
     pub fn update_baseline(&mut self, elapsed: f64, assumed_latency: f64) {
         let risen = match self.baseline_latency {
-            Some(baseline) => baseline * (1.0 + RISE_PER_SECOND * elapsed),
+            Some(baseline) => baseline * (1.0 + MAX_RISE_PER_SECOND * elapsed),
             None => assumed_latency,
         };
         let lowest = match self.latency.get() {
@@ -99,13 +99,13 @@
         let weight = if self.latency.count() < MIN_SAMPLES_TO_SMOOTH {
             1.0
         } else {
-            (elapsed / SPEED_MEMORY).min(1.0)
+            (elapsed / SPEED_MEMORY_SECS).min(1.0)
         };
         self.speed += (speed - self.speed) * weight;
-        let is_first = weight == 1.0 || self.proven_speed == 0.0;
-        let smoothed = self.proven_speed + (speed - self.proven_speed) * weight;
-        let risen = self.proven_speed * (1.0 + RISE_PER_SECOND * elapsed);
-        self.proven_speed = if is_first { speed } else { smoothed.min(risen) };
+        let is_first = weight == 1.0 || self.rise_limited_speed == 0.0;
+        let smoothed = self.rise_limited_speed + (speed - self.rise_limited_speed) * weight;
+        let risen = self.rise_limited_speed * (1.0 + MAX_RISE_PER_SECOND * elapsed);
+        self.rise_limited_speed = if is_first { speed } else { smoothed.min(risen) };
     }
 
     /// Sets the speed to an assumed value, in requests per second, if it is unknown.
--- a/crates/balancer/src/backends/speed/tests.rs
+++ b/crates/balancer/src/backends/speed/tests.rs
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn the_proven_speed_rises_slowly() {
+fn the_rise_limited_speed_rises_slowly() {
     let mut estimate = estimate_with_latency(0.2);
     estimate.update_speed(10.0, 5.0);
     estimate.update_speed(1.0, 500.0);
     let risen = estimate.safe_speed().expect("responses");
-    assert!((risen - 10.0 * (1.0 + RISE_PER_SECOND)).abs() < TOLERANCE);
+    assert!((risen - 10.0 * (1.0 + MAX_RISE_PER_SECOND)).abs() < TOLERANCE);
 }
 
 #[test]
@@ -49,7 +49,7 @@
         estimate.record_latency(0.2);
     }
     estimate.update_baseline(1.0, 0.3);
-    let risen = 0.1 * (1.0 + RISE_PER_SECOND);
+    let risen = 0.1 * (1.0 + MAX_RISE_PER_SECOND);
     assert_eq!(estimate.baseline_latency(), Some(risen));
 }
 
--- a/crates/balancer/src/backends/warmup.rs
+++ b/crates/balancer/src/backends/warmup.rs
@@ -5,7 +5,7 @@
 use crate::{Config, Endpoint, Time};
 
 /// Lower bound of the slow-start duration, in seconds. It avoids a division by zero.
-const MIN_DURATION: f64 = 1e-6;
+const MIN_DURATION_SECS: f64 = 1e-6;
 
 /// Returns the fraction of its full capacity that a backend has at `now`, assuming that it needs
 /// `duration_fraction` of the configured slow-start duration to warm up.
@@ -20,7 +20,7 @@
 ) -> f64 {
     let duration = config.slow_start_duration.secs() * duration_fraction;
     let progress = match endpoint.started_at {
-        Some(started_at) => (now - started_at).secs() / duration.max(MIN_DURATION),
+        Some(started_at) => (now - started_at).secs() / duration.max(MIN_DURATION_SECS),
         None => 1.0,
     };
     let floor = config.slow_start_floor;
--- a/crates/balancer/src/retry/policy.rs
+++ b/crates/balancer/src/retry/policy.rs
@@ -26,10 +26,10 @@
     /// Whether one more attempt is safe and allowed now. Its backend must also satisfy
     /// [`allows_backend`](Self::allows_backend).
     pub fn allows_attempt(&self, now: Time) -> bool {
-        let may_run_beside = self.config.hedging_allowed || !self.request.is_in_flight();
+        let may_run_concurrently = self.config.hedging_allowed || !self.request.is_in_flight();
         let attempts_left = self.request.attempts.len() < self.config.max_attempts as usize;
         let mut attempts = self.request.attempts.iter();
-        may_run_beside
+        may_run_concurrently
             && attempts_left
             && attempts.all(|attempt| attempt.not_executed || self.is_repeatable(now, attempt))
     }
