--- a/crates/balancer/src/backends/outlier_detection.rs
+++ b/crates/balancer/src/backends/outlier_detection.rs
@@ -66,7 +66,7 @@
 impl OutlierDetector {
     /// Computes the request interval. `rate` is the requests per second of this proxy to all
     /// backends together, `None` if it is unknown or if few proxies share each backend.
-    pub fn update_visit_interval(&mut self, ready_backends: usize, rate: Option<f64>) {
+    pub fn update_request_interval(&mut self, ready_backends: usize, rate: Option<f64>) {
         let interval = match rate {
             Some(rate) => ready_backends as f64 / rate.max(EPSILON),
             None => 0.0,
--- a/crates/balancer/src/backends/outlier_detection/tests.rs
+++ b/crates/balancer/src/backends/outlier_detection/tests.rs
@@ -72,7 +72,7 @@
 #[test]
 fn a_single_rejection_ejects_no_backend_even_at_long_request_intervals() {
     let mut setup = Setup::new();
-    setup.detector.update_visit_interval(1_000, Some(0.1));
+    setup.detector.update_request_interval(1_000, Some(0.1));
     assert!(!setup.end_attempt(START, Outcome::Rejected));
     assert!(setup.end_attempt(START, Outcome::Rejected));
 }
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -22,7 +22,8 @@
         // Where few proxies share a backend, each visits it many times a second, so that the time
         // between two visits does not matter.
         let visit_rate = own_rate.filter(|_| !peers.are_few());
-        self.outliers.update_visit_interval(ready_count, visit_rate);
+        self.outliers
+            .update_request_interval(ready_count, visit_rate);
         let fleet_rate = own_rate.map(|rate| rate * peers.per_backend);
         let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY;
         self.backends
