--- a/crates/fleet-simulator/src/real/backends.rs
+++ b/crates/fleet-simulator/src/real/backends.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the backends. Many backends share a listener. The proxy does not mix up their
-//! connections, as it pools connections by the name of a backend.
+//! Stand-ins for the backends. Many backends share one listener. The proxy does not mix up their
+//! connections, because its connection pools are keyed by the name of the backend.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -16,21 +16,21 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What is counted of all backends together.
+/// Counters over all backends.
 #[derive(Default)]
 struct Counts {
     connections: AtomicU64,
     requests: AtomicU64,
 }
 
-/// Listeners that stand for all backends.
+/// The listeners that stand in for all backends.
 pub struct Backends {
     addresses: Vec<SocketAddr>,
     counts: Arc<Counts>,
 }
 
 impl Backends {
-    /// Starts this many listeners; each request is answered after `service_time`.
+    /// Starts this many listeners. Each request is answered after `service_time`.
     pub async fn start(listeners: usize, service_time: Duration) -> Result<Backends, Failure> {
         let mut backends = Backends {
             addresses: Vec::new(),
@@ -39,27 +39,27 @@
         for _ in 0..listeners {
             let listener = TcpListener::bind("127.0.0.1:0")
                 .await
-                .map_err(Failure::in_step("a backend's listener"))?;
-            let address = listener
-                .local_addr()
-                .map_err(Failure::in_step("a backend's address"))?;
+                .map_err(Failure::in_step("starting the listener of a backend"))?;
+            let address = listener.local_addr().map_err(Failure::in_step(
+                "reading the address of a backend's listener",
+            ))?;
             backends.addresses.push(address);
             tokio::spawn(accept(listener, backends.counts.clone(), service_time));
         }
         Ok(backends)
     }
 
-    /// The address of the backend of that number.
+    /// The address of the backend with this number.
     pub fn address(&self, backend: usize) -> SocketAddr {
         self.addresses[backend % self.addresses.len()]
     }
 
-    /// Connections accepted so far.
+    /// The number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.counts.connections.load(Relaxed)
     }
 
-    /// Requests so far.
+    /// The number of requests received so far.
     pub fn requests(&self) -> u64 {
         self.counts.requests.load(Relaxed)
     }
@@ -80,7 +80,7 @@
     });
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Err(e) = connection.await {
-        tracing::debug!("connection to a backend: {e}");
+        tracing::debug!("a connection from the proxy to a backend failed: {e}");
     }
 }
 
@@ -95,24 +95,24 @@
     Response::new(Full::new(stamp.to_text().into()))
 }
 
-/// When a backend received a request, and how long it took to serve it. A backend sends this as the
-/// body of its response, so that the client can subtract the backend's time from the latency.
+/// When a backend received a request, and how long it took to serve it. The backend sends this as
+/// the body of its response, so that the client can subtract the service time from the latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stamp {
-    /// When the request's last byte had arrived, on the clock of [`since_start`].
+    /// When the last byte of the request had arrived, on the clock of [`since_start`].
     pub received_at: Duration,
-    /// The time from then to the response.
+    /// The time from `received_at` to the response.
     pub service_time: Duration,
 }
 
-/// The time on a clock that all stand-ins of this process share.
+/// The time since the first call of this function. All stand-ins of this process share this clock.
 pub fn since_start() -> Duration {
     static START: LazyLock<Instant> = LazyLock::new(Instant::now);
     START.elapsed()
 }
 
 impl Stamp {
-    /// The stamp as it is written into a body.
+    /// The stamp as a response body has it: both times in microseconds, separated by a comma.
     pub fn to_text(&self) -> String {
         format!(
             "{},{}",
@@ -121,7 +121,7 @@
         )
     }
 
-    /// Reads the body of a response; `None` if no backend wrote it.
+    /// Parses the body of a response. Returns `None` if it is not a stamp.
     pub fn parse(body: &[u8]) -> Option<Stamp> {
         let (received_at, service_time) = std::str::from_utf8(body).ok()?.split_once(',')?;
         Some(Stamp {
--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -1,4 +1,4 @@
-//! The figures of one cell of the matrix: the real proxy at one size.
+//! The results of one cell of the matrix, as they are printed and written as JSON.
 
 use super::load::{NotServed, Observations};
 use super::measurements::Measurements;
@@ -10,23 +10,23 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// What was measured in a cell. In JSON all figures stand side by side.
+/// The results of one cell. JSON has all of them as keys of a single object.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cell {
-    /// Backends in the endpoint list.
+    /// The number of backends in the endpoint list.
     pub backends: usize,
-    /// Tenants in the settings.
+    /// The number of tenants in the settings.
     pub tenants: usize,
     /// How the proxy learns the endpoint list.
     #[serde(rename = "mode")]
     pub discovery_mode: DiscoveryMode,
-    /// Whether the configuration holds the endpoint list at the start.
+    /// Whether the configuration contains the endpoint list at the start.
     #[serde(rename = "known")]
     pub list_is_known: bool,
-    /// The rate of the load, requests a second.
+    /// The mean rate of the load, requests per second.
     #[serde(rename = "per_s")]
     pub requests_per_second: f64,
-    /// From the start of the process to the first 200 of `/-/ready`, s.
+    /// The time from the start of the process to the first 200 response of `/-/ready`, s.
     pub ready_secs: f64,
     /// The proxy's memory.
     #[serde(flatten)]
@@ -34,10 +34,10 @@
     /// The proxy's processor time.
     #[serde(flatten)]
     pub cpu: CpuFigures,
-    /// What the proxy received from discovery.
+    /// The proxy's discovery traffic.
     #[serde(flatten)]
     pub discovery: DiscoveryFigures,
-    /// The requests of the load.
+    /// The counts of requests and connections under the load.
     #[serde(flatten)]
     pub requests: RequestFigures,
     /// The latency that the proxy added to requests.
@@ -48,76 +48,76 @@
     pub stalls: StallFigures,
 }
 
-/// Resident memory of the proxy.
+/// The resident memory of the proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct MemoryFigures {
-    /// Once the proxy is ready and has settled, MB.
+    /// Resident memory when the proxy is ready and has settled, MB.
     pub rss_start_mb: f64,
-    /// The highest until then, MB.
+    /// Peak resident memory until the proxy is ready and has settled, MB.
     pub hwm_start_mb: f64,
-    /// After the load, MB.
+    /// Resident memory after the load, MB.
     pub rss_load_mb: f64,
-    /// The highest after the load, before further whole lists are sent, MB.
+    /// Peak resident memory after the load, before further snapshots of the list are sent, MB.
     pub hwm_load_mb: f64,
-    /// The highest at the end, after whole lists were sent under load, MB.
+    /// Peak resident memory at the end, after snapshots of the list were sent under load, MB.
     pub hwm_end_mb: f64,
 }
 
-/// Processor time of the proxy.
+/// The processor time of the proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct CpuFigures {
-    /// Processor time when idle, % of a core.
+    /// Processor time in the idle phase, % of a core.
     pub cpu_idle_percent: f64,
-    /// How long that was measured, s.
+    /// The duration of this measurement, s.
     pub idle_secs: f64,
     /// Processor time under the load, % of a core.
     pub cpu_load_percent: f64,
-    /// How long that was measured, s.
+    /// The duration of this measurement, s.
     pub load_secs: f64,
-    /// Time in which the proxy was runnable and had no core, % of the time: when idle, under the
-    /// load and under the probes. Where this is much, the machine was busy with other work, and has
-    /// lengthened the times and stalls that were measured.
+    /// The time in which the proxy was runnable but had no core, % of the time: in the idle phase,
+    /// under the load, and under the probes. A high value means that the machine was busy with
+    /// other work, so that the measured times and stalls are too long.
     #[serde(rename = "waited_percent")]
     pub cpu_wait_percent: [f64; 3],
 }
 
-/// What the proxy received from discovery.
+/// The traffic from discovery to the proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DiscoveryFigures {
-    /// Bytes until the proxy is ready and has settled, heads of responses included.
+    /// Bytes until the proxy is ready and has settled, including the heads of responses.
     pub list_bytes: u64,
-    /// Bytes a second when nothing changes.
+    /// Bytes per second while the list does not change.
     pub idle_bytes_per_s: f64,
-    /// Bytes for the change of one entry, those of the next call included.
+    /// Bytes per change of one entry, including those of the call that follows.
     pub change_bytes: f64,
-    /// Calls in all.
+    /// The total number of calls.
     pub discovery_calls: u64,
 }
 
-/// The requests of the load.
+/// The counts of requests and connections under the load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RequestFigures {
-    /// Requests that reached backends.
+    /// Requests that backends received.
     #[serde(rename = "requests")]
     pub forwarded: u64,
-    /// Requests that were not served.
+    /// Requests that did not get status 200, by the reason.
     pub not_served: NotServed,
     /// New connections to backends per request, in each half of the load.
     #[serde(rename = "new_connections")]
     pub new_connections_per_request: [f64; 2],
 }
 
-/// Latency beyond the backend's service time, of served requests.
+/// The latency of served requests without the backend's service time.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LatencyFigures {
     /// The median, ms.
     pub added_p50_ms: f64,
     /// The 99th percentile, ms.
     pub added_p99_ms: f64,
-    /// The longest, ms.
+    /// The maximum, ms.
     pub added_max_ms: f64,
-    /// The part until the backend had the request, queueing and connecting included, ms: median and
-    /// 99th percentile.
+    /// The part until the backend had received the request, including queueing and connecting, ms:
+    /// median and 99th percentile.
     #[serde(rename = "before_ms")]
     pub before_backend_ms: [f64; 2],
     /// The part after the backend's response, ms: median and 99th percentile.
@@ -125,19 +125,19 @@
     pub after_backend_ms: [f64; 2],
 }
 
-/// The longest round trips of probes under the load, by what happened during them.
+/// The longest round trips of probes under the load, for each sort of event during the probes.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct StallFigures {
-    /// Nothing happened.
+    /// Stalls without an event.
     #[serde(rename = "stall_plain")]
     pub without_event: Stall,
-    /// One entry of the list changed.
+    /// Stalls when one entry of the list changes.
     #[serde(rename = "stall_change")]
     pub change: Stall,
-    /// A whole list came.
+    /// Stalls when a snapshot of the whole list arrives.
     #[serde(rename = "stall_whole")]
     pub snapshot: Stall,
-    /// How many probes there were in each of these three cases.
+    /// The number of probes in each of these three cases, in the same order.
     pub probes: [usize; 3],
 }
 
--- a/crates/fleet-simulator/src/real/client.rs
+++ b/crates/fleet-simulator/src/real/client.rs
@@ -1,4 +1,5 @@
-//! A client of the proxy that keeps its connections, and probes of the data path.
+//! The HTTP client that sends requests to the proxy on persistent connections, and the probes of
+//! the data path.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -15,27 +16,27 @@
 /// The pause between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A client's side of a connection to the proxy.
+/// The client's end of a connection to the proxy.
 pub(super) type Connection = SendRequest<Empty<Bytes>>;
 
-/// Why there is no response.
+/// Why a request got no usable response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The connection could not be established, or the client could not be set up.
+    /// The connection could not be established, or the client's runtime could not be started.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The connection broke, or its bytes were not HTTP.
+    /// The connection failed, or the received bytes are not valid HTTP.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
-    /// The body is not that of a stand-in for a backend.
-    #[error("a body that no backend wrote")]
+    /// The body of a 200 response was not written by a stand-in for a backend.
+    #[error("the body of the response was not written by a backend")]
     UnknownBody,
 }
 
-/// A whole response.
+/// A response with its whole body.
 pub(super) struct ClientResponse {
     pub(super) status: StatusCode,
     pub(super) body: Bytes,
@@ -48,7 +49,7 @@
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
         if let Err(e) = connection.await {
-            tracing::debug!("connection to the proxy: {e}");
+            tracing::debug!("the connection to the proxy failed: {e}");
         }
     });
     Ok(sender)
@@ -65,7 +66,7 @@
     Ok(ClientResponse { status, body })
 }
 
-/// Whether the proxy is ready; an error if nothing answers.
+/// Whether the proxy is ready. Returns an error if the proxy does not respond.
 pub async fn is_ready(proxy: SocketAddr) -> Result<bool, ClientError> {
     let mut connection = connect(proxy).await?;
     probe(&mut connection).await
@@ -84,16 +85,16 @@
 pub struct RoundTrip {
     /// When the probe was sent.
     pub sent_at: Instant,
-    /// How long it took to the end of the response.
+    /// The time from sending the probe to the end of the response.
     pub duration: Duration,
 }
 
-/// Probes the proxy on one connection for that span, with a pause of 1 ms after each probe. A probe
-/// costs the proxy little, so the longest round trip is about the longest time for which the
-/// proxy's only thread did something else.
+/// Probes the proxy on one connection for the time `span`, with a pause of [`PROBE_INTERVAL`] after
+/// each probe. The proxy needs little time to answer a probe, so the longest round trip is about
+/// the longest time for which the proxy's only thread was busy with other work.
 pub async fn probe_for(proxy: SocketAddr, span: Duration) -> Result<Vec<RoundTrip>, Failure> {
-    const STEP: &str = "probe of the data path";
-    // The probes run on a thread of their own, so that the stand-ins do not delay them.
+    const STEP: &str = "probing the data path";
+    // The probes run on a separate thread, so that the stand-ins do not delay them.
     let probes = tokio::task::spawn_blocking(move || probe_on_this_thread(proxy, span));
     let result = probes.await.map_err(Failure::in_step(STEP))?;
     result.map_err(Failure::in_step(STEP))
--- a/crates/fleet-simulator/src/real/discovery.rs
+++ b/crates/fleet-simulator/src/real/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery. It serves the whole endpoint list, and watches: calls that wait for
-//! changes of the list.
+//! A stand-in for discovery. It serves the whole endpoint list, and watches, which are calls that
+//! wait for changes of the list.
 
 use crate::failure::Failure;
 use bytes::Bytes;
@@ -19,33 +19,33 @@
 use tokio::sync::watch;
 use tokio_util::io::InspectWriter;
 
-/// The longest wait that a watch may ask for.
+/// The upper limit on the wait time of a watch.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
-/// The version of the list at the start.
+/// The first version of the list.
 const FIRST_VERSION: u64 = 1;
 
-/// What is counted of the calls so far.
+/// Counters over all calls.
 #[derive(Default)]
 struct Counts {
     bytes: AtomicU64,
     calls: AtomicU64,
 }
 
-/// What a version of the list changed.
+/// How a version of the list differs from the version before.
 #[derive(Clone, Copy)]
 enum Change {
-    /// The endpoint at this position.
+    /// The endpoint at this position has changed.
     Endpoint(usize),
-    /// All watches get the whole list.
+    /// Nothing has changed, but all watches get the whole list.
     WholeList,
 }
 
-/// The endpoint list with its history.
+/// The endpoint list and the history of its changes.
 struct EndpointList {
     version: u64,
-    /// The endpoints, each of them JSON.
+    /// The endpoints, each of them as a JSON object.
     endpoints: Vec<String>,
-    /// The changes by version.
+    /// The changes by the version that they led to.
     changes: BTreeMap<u64, Change>,
 }
 
@@ -55,7 +55,7 @@
         self.changes.insert(self.version, change);
     }
 
-    /// The endpoints that changed after a version; `None` if the whole list is to be sent.
+    /// The endpoints that have changed after a version; `None` if the whole list is to be sent.
     fn changed_after(&self, version: u64) -> Option<Vec<&String>> {
         let changes = self.changes.range(version + 1..);
         changes
@@ -66,7 +66,7 @@
             .collect()
     }
 
-    /// The response to a proxy that knows this version of the list, or no version.
+    /// The body of the response to a proxy that has this version of the list, or has no list.
     fn response_body(&self, known_version: Option<u64>) -> String {
         let changed = known_version.and_then(|version| self.changed_after(version));
         let is_snapshot = changed.is_none();
@@ -86,10 +86,10 @@
     }
 }
 
-/// A discovery service that is never overloaded.
+/// The stand-in for discovery, which is never overloaded. All clones share its state.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     list: Arc<Mutex<EndpointList>>,
     version: watch::Sender<u64>,
@@ -97,14 +97,14 @@
 }
 
 impl Discovery {
-    /// Starts with a list of these endpoints, each of them JSON.
+    /// Starts discovery with a list of these endpoints, each of them a JSON object.
     pub async fn start(endpoints: Vec<String>) -> Result<Discovery, Failure> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .map_err(Failure::in_step("discovery's listener"))?;
-        let address = listener
-            .local_addr()
-            .map_err(Failure::in_step("discovery's address"))?;
+            .map_err(Failure::in_step("starting the listener of discovery"))?;
+        let address = listener.local_addr().map_err(Failure::in_step(
+            "reading the address of discovery's listener",
+        ))?;
         let list = EndpointList {
             version: FIRST_VERSION,
             endpoints,
@@ -129,7 +129,7 @@
 
     async fn serve_connection(self, stream: TcpStream) {
         let counts = self.counts.clone();
-        // The count includes the heads of responses.
+        // Counting at the stream includes the heads of responses.
         let counted_stream = InspectWriter::new(stream, move |written: &[u8]| {
             counts.bytes.fetch_add(written.len() as u64, Relaxed);
         });
@@ -140,7 +140,7 @@
         let connection =
             http1::Builder::new().serve_connection(TokioIo::new(counted_stream), service);
         if let Err(e) = connection.await {
-            tracing::debug!("connection to discovery: {e}");
+            tracing::debug!("a connection from the proxy to discovery failed: {e}");
         }
     }
 
@@ -151,7 +151,7 @@
             Some(Query::List) => *response.body_mut() = self.response_body(None),
             Some(Query::Watch { after, wait }) => {
                 let mut version = self.version.subscribe();
-                // If nothing changes in time, the list of changes in the response is empty.
+                // If the list does not change within the wait time, the response has no endpoints.
                 let _ = tokio::time::timeout(wait, version.wait_for(|v| *v > after)).await;
                 *response.body_mut() = self.response_body(Some(after));
             }
@@ -168,7 +168,7 @@
         Full::new(self.list().response_body(known_version).into())
     }
 
-    /// Changes the endpoint at a position.
+    /// Replaces the endpoint at a position, and sends the change to all watches.
     pub fn change(&self, position: usize, endpoint: String) {
         let mut list = self.list();
         list.endpoints[position] = endpoint;
@@ -176,35 +176,37 @@
         self.version.send_replace(list.version);
     }
 
-    /// Sends the whole list to all that watch.
+    /// Sends the whole list to all watches.
     pub fn push_snapshot(&self) {
         let mut list = self.list();
         list.add_version(Change::WholeList);
         self.version.send_replace(list.version);
     }
 
-    /// Bytes written so far.
+    /// The number of bytes written so far, including the heads of responses.
     pub fn bytes(&self) -> u64 {
         self.counts.bytes.load(Relaxed)
     }
 
-    /// Calls so far.
+    /// The number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.counts.calls.load(Relaxed)
     }
 }
 
-/// A call.
+/// The kind of a call, with its parameters.
 #[derive(Debug, PartialEq, Eq)]
 enum Query {
-    /// The whole list.
+    /// Asks for the whole list.
     List,
-    /// The changes after a version, as soon as there are any, or after a wait.
+    /// Asks for the changes after a version. The response is sent when there is a change, or at the
+    /// end of the wait time.
     Watch { after: u64, wait: Duration },
 }
 
 impl Query {
-    /// Reads a call; `None` if discovery has no such call.
+    /// Parses the URI of a call. Returns `None` if the path is unknown, or a parameter is missing
+    /// or invalid.
     fn parse(uri: &Uri) -> Option<Query> {
         if uri.path() != "/api/targets" {
             return None;
--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -1,5 +1,5 @@
-//! The load on the proxy: Poisson arrivals that do not wait for earlier responses, and what the
-//! clients observe.
+//! Generates the load on the proxy, and records what the clients observe. The load is open-loop:
+//! requests arrive in a Poisson process, and do not wait for earlier responses.
 
 use super::backends::{since_start, Stamp};
 use super::client::{connect, exchange, ClientError, Connection};
@@ -20,30 +20,30 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How long a client waits for its answer, ms.
+/// The remaining time that a client states in `X-Time-Left-Ms`, ms.
 const CLIENT_TIMEOUT_MS: u64 = 2_000;
 
-/// What clients observed.
+/// The observations of the clients.
 pub struct Observations {
-    /// Latency beyond the backend's service time, us, of served requests.
+    /// The latency of served requests without the backend's service time, us.
     pub added_latency: Histogram<u64>,
-    /// The part of it until the backend had the request, us.
+    /// The part of the added latency until the backend had received the request, us.
     pub before_backend: Histogram<u64>,
-    /// The part of it after the backend's response, us.
+    /// The part of the added latency after the backend's response, us.
     pub after_backend: Histogram<u64>,
-    /// Requests that were not served.
+    /// The counts of requests that were not served.
     pub not_served: NotServed,
 }
 
-/// What became of requests that were not served.
+/// The counts of requests that were not served, by the reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct NotServed {
-    /// Rejected: 429 or 503.
+    /// Rejected with status 429 or 503.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed: a status other than 200, 429 and 503.
+    /// Failed with a status other than 200, 429 and 503.
     pub failed: u64,
-    /// Without a response.
+    /// Without a usable response.
     #[serde(rename = "broken")]
     pub no_response: u64,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Adds the observations of another time.
+    /// Adds the observations of another run of the load.
     pub fn add(&mut self, other: &Observations) -> Result<(), Failure> {
         self.not_served.rejected += other.not_served.rejected;
         self.not_served.failed += other.not_served.failed;
@@ -69,8 +69,9 @@
             (&mut self.after_backend, &other.after_backend),
         ];
         for (sum, part) in histograms {
-            sum.add(part)
-                .map_err(Failure::in_step("the times of both halves"))?;
+            sum.add(part).map_err(Failure::in_step(
+                "adding the latency histograms of both halves of the load",
+            ))?;
         }
         Ok(())
     }
@@ -83,7 +84,7 @@
             )) => self.not_served.rejected += 1,
             Err(RequestError::Status(_)) => self.not_served.failed += 1,
             Err(RequestError::NoResponse(error)) => {
-                tracing::debug!("no answer: {error}");
+                tracing::debug!("a request got no response: {error}");
                 self.not_served.no_response += 1;
             }
         }
@@ -113,14 +114,15 @@
     NoResponse(#[from] ClientError),
 }
 
-/// What the clients share.
+/// The state that all clients share.
 struct Clients {
     proxy: SocketAddr,
     idle_connections: Mutex<Vec<Connection>>,
     observations: Mutex<Observations>,
 }
 
-/// A Poisson stream of requests. Each uses a connection that is idle at its arrival, or a new one.
+/// A load of requests whose arrivals are a Poisson process. Each request uses a connection that is
+/// idle at its arrival, or a new one.
 pub struct Load {
     clients: Arc<Clients>,
     random: Pcg64Mcg,
@@ -130,7 +132,8 @@
 }
 
 impl Load {
-    /// A load on that proxy with this many requests a second.
+    /// Creates a load on the proxy with this mean rate of requests. Each request belongs to a
+    /// random tenant, or to none if `tenants` is 0.
     pub fn new(
         proxy: SocketAddr,
         requests_per_second: f64,
@@ -151,7 +154,7 @@
         })
     }
 
-    /// Runs the load for that span and returns the observations since the last run.
+    /// Runs the load for the time `span`, and returns the observations since the previous run.
     pub async fn run(&mut self, span: Duration) -> Observations {
         let end = Instant::now() + span;
         self.next_arrival = self.next_arrival.max(Instant::now());
@@ -161,7 +164,8 @@
             self.next_arrival += Duration::from_secs_f64(interval);
             let tenant = (self.tenants > 0).then(|| self.random.random_range(0..self.tenants));
             let correlation_id = self.random.random();
-            // Each request has a task of its own, so that a slow response delays no later request.
+            // Each request runs in a separate task, so that a slow response does not delay later
+            // requests.
             tokio::spawn(self.clients.clone().send(correlation_id, tenant));
         }
         tokio::time::sleep_until(end.into()).await;
--- a/crates/fleet-simulator/src/real/measurements.rs
+++ b/crates/fleet-simulator/src/real/measurements.rs
@@ -1,4 +1,4 @@
-//! The measurements of one cell of the matrix: the real proxy at one size, phase by phase.
+//! Measures one cell of the matrix in phases: start, idling, load, and probes under load.
 
 use super::backends::Backends;
 use super::discovery::Discovery;
@@ -11,27 +11,28 @@
 use crate::failure::{Failure, InputError, MeasurementError};
 use std::time::Duration;
 
-/// The load goes on for this long after the probes.
+/// The load continues for this time after the end of the probes.
 const LOAD_AFTER_PROBES: Duration = Duration::from_secs(1);
-/// How many sorts of events stalls are measured for: no event, a change, and a whole list.
+/// The number of sorts of events for which stalls are measured: no event, a change of one entry,
+/// and a snapshot of the whole list.
 const EVENT_SORTS: u32 = 3;
 
-/// What was measured, phase by phase.
+/// The measurements of all phases of a cell.
 pub(super) struct Measurements {
-    /// From the start of the process until the proxy was ready.
+    /// The time from the start of the process until the proxy was ready.
     pub(super) ready_after: Duration,
     pub(super) idle: IdlePhase,
     pub(super) load: LoadPhase,
-    /// The proxy's resources after the load.
+    /// The proxy's resource usage after the load.
     pub(super) loaded: Usage,
     pub(super) probes: ProbePhase,
-    /// The proxy's resources at the end.
+    /// The proxy's resource usage after the probes.
     pub(super) end: Usage,
     pub(super) discovery_calls: u64,
 }
 
-/// Measures a cell: starts the stand-ins and the proxy, and runs all phases. All of them have ended
-/// when it returns.
+/// Measures a cell: starts the stand-ins and the proxy, and runs all phases. The proxy has ended
+/// when this function returns.
 pub(super) async fn measure(setup: &Setup) -> Result<Measurements, Failure> {
     let listeners = setup.listeners.min(setup.backends);
     let backends = Backends::start(listeners, setup.service_time).await?;
@@ -55,7 +56,7 @@
     let load_phase = phases::run_load(&mut load, backends, setup.load_duration).await?;
     let loaded = process.usage()?;
 
-    // Probes measure stalls of the data path under load, so the load goes on while they run.
+    // The probes measure stalls of the data path under load, so the load continues during them.
     let load_span = PROBE_SPAN * EVENT_SORTS + LOAD_AFTER_PROBES;
     let probes = phases::run_probes(&process, backends, discovery);
     let (probe_phase, _) = tokio::join!(probes, load.run(load_span));
--- a/crates/fleet-simulator/src/real/phases.rs
+++ b/crates/fleet-simulator/src/real/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a cell: idling, the load in two halves, and the probes of the data path.
+//! The phases of measuring a cell: idling, load in two halves, and probes of the data path.
 
 use super::backends::Backends;
 use super::discovery::Discovery;
@@ -10,44 +10,45 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// The time that the proxy gets after it is ready to finish the work of its start.
+/// How long the proxy may go on with the work of its start after it is ready, before the idle phase
+/// begins.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// What was measured before the load.
+/// The measurements of the idle phase.
 pub(super) struct IdlePhase {
-    /// The proxy's resources once it had settled.
+    /// The proxy's resource usage once it had settled.
     pub(super) settled: Usage,
     /// Bytes that discovery had written once the proxy had settled.
     pub(super) settled_bytes: u64,
-    /// The proxy's resources at the end of the phase.
+    /// The proxy's resource usage at the end of the phase.
     pub(super) end: Usage,
     /// Bytes that discovery had written at the end of the phase.
     pub(super) end_bytes: u64,
 }
 
-/// What was measured under the load.
+/// The measurements of the load phase.
 pub(super) struct LoadPhase {
     pub(super) observations: Observations,
     pub(super) new_connections_per_request: [f64; 2],
     pub(super) forwarded_requests: u64,
 }
 
-/// What was measured in one half of the load.
+/// The measurements of one half of the load phase.
 struct LoadHalf {
     observations: Observations,
     new_connections_per_request: f64,
 }
 
-/// What was measured with probes.
+/// The measurements of the probe phase.
 pub(super) struct ProbePhase {
     pub(super) without_event: StallMeasurement,
     pub(super) change: StallMeasurement,
     pub(super) snapshot: StallMeasurement,
-    /// Bytes that discovery wrote per change of one entry.
+    /// The bytes that discovery wrote per change of one entry.
     pub(super) change_bytes: f64,
 }
 
-/// Lets the proxy settle, and then idle for a span.
+/// Waits until the proxy has settled, and then lets it idle for `duration`.
 pub(super) async fn run_idle(
     process: &ProxyProcess,
     discovery: &Discovery,
@@ -65,7 +66,7 @@
     })
 }
 
-/// Runs the load in two halves.
+/// Runs the load for `duration`, in two halves that are measured separately.
 pub(super) async fn run_load(
     load: &mut Load,
     backends: &Backends,
@@ -99,8 +100,8 @@
     }
 }
 
-/// Measures the stalls of the data path without an event, around changes of one entry, and around
-/// whole lists.
+/// Measures the stalls of the data path without an event, around changes of one entry of the list,
+/// and around snapshots of the whole list.
 pub(super) async fn run_probes(
     process: &ProxyProcess,
     backends: &Backends,
@@ -110,7 +111,7 @@
     let without_event = stall::measure_stalls(process.address, |_| {}).await?;
     let bytes_before = discovery.bytes();
     let change_endpoint = |event: usize| {
-        // The state alternates, so that each event is a change.
+        // The status alternates, so that each event changes the entry.
         let status = if event % 2 == 0 { "draining" } else { "ready" };
         discovery.change(0, endpoint_json(0, backends, status));
     };
@@ -126,7 +127,7 @@
     })
 }
 
-/// An entry of the endpoint list as discovery writes it.
+/// An entry of the endpoint list as JSON, in the form in which discovery sends it.
 pub(super) fn endpoint_json(backend: usize, backends: &Backends, status: &'static str) -> String {
     let endpoint = world::ListedEndpoint {
         status,
--- a/crates/fleet-simulator/src/real/process.rs
+++ b/crates/fleet-simulator/src/real/process.rs
@@ -1,4 +1,4 @@
-//! The real proxy as a process: its start, its end, and its use of memory and processor time.
+//! Starts and ends the real proxy's process, and reads its use of memory and processor time.
 
 use crate::failure::{Failure, InputError};
 use procfs::process::{LimitValue, Process};
@@ -9,29 +9,29 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-/// A running proxy; dropping it ends the process and removes its configuration file.
+/// A running proxy. Dropping it kills the process and removes its configuration file.
 pub struct ProxyProcess {
     child: Child,
     config_file: PathBuf,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// When it was started.
     pub started_at: Instant,
 }
 
-/// The resources that a process holds and has used.
+/// The memory that a process holds and the processor time that it has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// Resident memory now, KB.
     pub rss_kb: u64,
-    /// The highest resident memory so far, KB.
+    /// Peak resident memory so far, KB.
     pub hwm_kb: u64,
-    /// Processor time so far, s. The operating system counts it in ticks, usually of 0.01 s.
+    /// Processor time so far, s. The operating system counts it in ticks of usually 0.01 s.
     pub cpu_secs: f64,
-    /// Time so far in which it was runnable and had no core, s, because the machine was busy with
-    /// other work.
+    /// Time so far in which the process was runnable but had no core, because the machine was busy
+    /// with other work, s.
     pub cpu_wait_secs: f64,
-    /// When this was read.
+    /// When these values were read.
     pub at: Instant,
 }
 
@@ -41,7 +41,8 @@
         100.0 * (self.cpu_secs - earlier.cpu_secs) / self.secs_since(earlier)
     }
 
-    /// Time without a core since an earlier reading, % of the time.
+    /// Time in which the process was runnable but had no core since an earlier reading, % of the
+    /// time.
     pub fn cpu_wait_percent_since(&self, earlier: &Usage) -> f64 {
         100.0 * (self.cpu_wait_secs - earlier.cpu_wait_secs) / self.secs_since(earlier)
     }
@@ -53,13 +54,15 @@
 }
 
 impl ProxyProcess {
-    /// Starts the program with this configuration, in which `listen` is replaced by a free port.
+    /// Starts the program with this configuration, after replacing `listen` by an address with a
+    /// free port.
     pub fn start(program: &Path, mut config: Value) -> Result<ProxyProcess, Failure> {
-        let address = free_address().map_err(Failure::in_step("a free port"))?;
+        let address = free_address().map_err(Failure::in_step("searching for a free port"))?;
         config["listen"] = address.to_string().into();
         let config_file = config_file(address);
-        std::fs::write(&config_file, config.to_string())
-            .map_err(Failure::in_step("the configuration's file"))?;
+        std::fs::write(&config_file, config.to_string()).map_err(Failure::in_step(
+            "writing the configuration file of the proxy",
+        ))?;
         drop(config);
         let started_at = Instant::now();
         let child = Command::new(program)
@@ -79,14 +82,16 @@
         })
     }
 
-    /// Whether the process has exited. It should not do so by itself.
+    /// Whether the process has exited. It is not expected to exit before it is killed.
     pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// The resources that it holds and has used so far.
+    /// Reads the memory that the process holds and the processor time that it has used so far.
     pub fn usage(&self) -> Result<Usage, Failure> {
-        usage(self.child.id() as i32).map_err(Failure::in_step("the proxy's usage"))
+        usage(self.child.id() as i32).map_err(Failure::in_step(
+            "reading the memory and processor time of the proxy",
+        ))
     }
 }
 
@@ -107,7 +112,7 @@
         rss_kb: status.vmrss.unwrap_or(0),
         hwm_kb: status.vmhwm.unwrap_or(0),
         cpu_secs: cpu_ticks as f64 / procfs::ticks_per_second() as f64,
-        // This counts the first thread of the process. The proxy has no other.
+        // This value covers only the first thread of the process. The proxy has no other thread.
         cpu_wait_secs: process
             .schedstat()
             .map_or(0.0, |schedule| schedule.run_delay as f64 / 1e9),
@@ -115,25 +120,28 @@
     })
 }
 
-/// Resident memory of this process, KB.
+/// The resident memory of this process, KB.
 pub fn own_rss_kb() -> Result<u64, Failure> {
     let own_pid = std::process::id() as i32;
-    let usage = usage(own_pid).map_err(Failure::in_step("this process's memory"))?;
+    let usage = usage(own_pid).map_err(Failure::in_step("reading the memory of this process"))?;
     Ok(usage.rss_kb)
 }
 
-/// The limit on open file descriptors that this process passes on to the processes it starts.
+/// The soft limit on open file descriptors of this process, which the processes that it starts
+/// inherit.
 pub fn max_open_files() -> Result<u64, Failure> {
     let limits = Process::myself()
         .and_then(|own| own.limits())
-        .map_err(Failure::in_step("the limit on descriptors"))?;
+        .map_err(Failure::in_step(
+            "reading the limit on open file descriptors",
+        ))?;
     Ok(match limits.max_open_files.soft_limit {
         LimitValue::Value(max) => max,
         LimitValue::Unlimited => u64::from(u32::MAX),
     })
 }
 
-/// A file for the configuration of the proxy at that address.
+/// The path of the configuration file of the proxy at that address.
 fn config_file(address: SocketAddr) -> PathBuf {
     let name = format!(
         "brookstack-fleet-simulator-{}-{}.json",
@@ -143,8 +151,8 @@
     std::env::temp_dir().join(name)
 }
 
-/// An address with a port that is free now. The configuration of the proxy has to name its port, so
-/// another program may take the port before the proxy does.
+/// An address with a port that is free at this moment. The proxy's configuration has to contain a
+/// fixed port, so another program may take the port before the proxy listens on it.
 fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
--- a/crates/fleet-simulator/src/real/setup.rs
+++ b/crates/fleet-simulator/src/real/setup.rs
@@ -1,38 +1,38 @@
-//! The setup of a cell.
+//! The parameters of a cell of the matrix.
 
 use crate::deployment::DiscoveryMode;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a cell is run with.
+/// The parameters of one cell.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The proxy's program.
+    /// The proxy's executable file.
     pub program: PathBuf,
-    /// Backends in the endpoint list.
+    /// The number of backends in the endpoint list.
     pub backends: usize,
-    /// Tenants in the settings.
+    /// The number of tenants in the settings.
     pub tenants: usize,
     /// How the proxy learns the endpoint list.
     pub discovery_mode: DiscoveryMode,
-    /// Whether the configuration holds the endpoint list, as after a restart. Otherwise the proxy
-    /// has to get it from discovery.
+    /// Whether the configuration contains the endpoint list, as after a restart. Otherwise the
+    /// proxy has to get the list from discovery.
     pub list_is_known: bool,
-    /// Which of the 1,100 proxies of the target deployment it is.
+    /// The index of the proxy among the 1,100 proxies of the target deployment, from 0.
     pub proxy_index: u32,
-    /// Listeners that the backends share.
+    /// The number of listeners that the backends share.
     pub listeners: usize,
-    /// Requests a second.
+    /// The mean rate of the load, requests per second.
     pub requests_per_second: f64,
-    /// The time that a backend takes for a request.
+    /// The time that a backend takes to serve a request.
     pub service_time: Duration,
-    /// How long the proxy idles.
+    /// The duration of the idle phase.
     pub idle_duration: Duration,
-    /// How long the load lasts, in two equal parts.
+    /// The duration of the load phase, which consists of two equal halves.
     pub load_duration: Duration,
-    /// The setting `limits.conn_idle_us` of the proxy, here in seconds: the time after which an
-    /// idle connection is closed.
+    /// The time after which the proxy closes an idle connection, s. This is its setting
+    /// `limits.conn_idle_us`, converted to seconds.
     pub connection_idle_secs: f64,
-    /// The seed of arrival times and tenants.
+    /// The seed of the random arrival times and tenants.
     pub seed: u64,
 }
--- a/crates/fleet-simulator/src/real/stall.rs
+++ b/crates/fleet-simulator/src/real/stall.rs
@@ -1,5 +1,6 @@
-//! Stalls of the data path. The proxy has one thread: while it handles an event, such as a new
-//! endpoint list, requests wait. Probes around the event show for how long.
+//! Measures stalls of the data path. The proxy has a single thread, so requests have to wait while
+//! it handles an event, such as a new endpoint list. Probes that are sent around the event show how
+//! long the requests wait.
 
 use super::client::{self, RoundTrip};
 use crate::failure::Failure;
@@ -7,26 +8,30 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How many events of one sort are caused.
+/// The number of events of each sort.
 pub(super) const EVENTS: usize = 5;
 /// The time between events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(600);
-/// The stall of an event is the longest round trip that overlaps this time after the event.
+/// The stall of an event is the longest round trip that overlaps with this time span after the
+/// event.
 const STALL_WINDOW: Duration = Duration::from_millis(400);
-/// How long probes are sent around the events of one sort: a little longer than all events take.
+/// How long probes are sent around the events of one sort. This is a little longer than all
+/// [`EVENTS`] take.
 pub(super) const PROBE_SPAN: Duration = Duration::from_millis(3_600);
 
-/// The longest round trips of probes, one for each event of a sort.
+/// Statistics of the stalls around the events of one sort: of the longest round trip of a probe for
+/// each event.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Stall {
-    /// Their median, ms.
+    /// The median of the longest round trips, ms.
     pub median_ms: f64,
-    /// The longest, ms. On a shared machine, other programs may have caused it.
+    /// The maximum of the longest round trips, ms. On a shared machine, it may be caused by other
+    /// programs.
     pub longest_ms: f64,
 }
 
 impl Stall {
-    /// The stalls around events.
+    /// Computes the statistics from the round trips of probes and the times of the events.
     pub fn of(round_trips: &[RoundTrip], events: &[Instant]) -> Stall {
         let mut longest_ms: Vec<f64> = events
             .iter()
@@ -41,7 +46,7 @@
     }
 }
 
-/// The longest round trip that was under way within [`STALL_WINDOW`] after an event, ms.
+/// The longest round trip that overlaps with [`STALL_WINDOW`] after an event, ms.
 fn longest_around(round_trips: &[RoundTrip], event: Instant) -> f64 {
     round_trips
         .iter()
@@ -54,12 +59,12 @@
 /// The stalls around the events of one sort.
 pub(super) struct StallMeasurement {
     pub(super) stall: Stall,
-    /// How many probes it was measured with.
+    /// The number of probes in the measurement.
     pub(super) probes: usize,
 }
 
-/// Probes the data path while `cause_event` causes an event several times; its argument is the
-/// number of the event.
+/// Probes the data path while it calls `cause_event` [`EVENTS`] times. The argument of
+/// `cause_event` is the number of the event, from 0.
 pub(super) async fn measure_stalls(
     proxy: SocketAddr,
     cause_event: impl FnMut(usize),
@@ -73,7 +78,7 @@
     })
 }
 
-/// Causes the events one after another. Returns their times.
+/// Causes the events at intervals of [`EVENT_INTERVAL`], and returns their times.
 async fn cause_events(mut cause_event: impl FnMut(usize)) -> Vec<Instant> {
     let mut times = Vec::new();
     for number in 0..EVENTS {
--- a/crates/fleet-simulator/src/real/startup.rs
+++ b/crates/fleet-simulator/src/real/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the real proxy for a cell and waits until it is ready.
+//! Starts the real proxy of a cell and waits until it is ready.
 
 use super::backends::Backends;
 use super::client;
@@ -11,24 +11,25 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The cell fails if `/-/ready` has not answered with 200 within this time after the start.
+/// The cell fails if `/-/ready` has not answered with 200 within this time after the start of the
+/// process.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause between two checks whether the proxy is ready.
+/// The pause between two checks of `/-/ready`.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// The cell fails if the proxy exits at this many starts.
+/// The cell fails if the proxy exits at this many starts in a row.
 const START_ATTEMPTS: usize = 3;
-/// The largest limit on sockets in the proxy's configuration.
+/// The upper bound for `limits.sockets` in the proxy's configuration.
 const MAX_SOCKETS: u64 = 20_000;
 
-/// A proxy that is ready.
+/// A proxy process that is ready.
 pub(super) struct ReadyProxy {
     pub(super) process: ProxyProcess,
-    /// From the start of the process to the first 200 of `/-/ready`.
+    /// The time from the start of the process to the first 200 response of `/-/ready`.
     pub(super) ready_after: Duration,
 }
 
-/// Starts the proxy and waits until it is ready. The proxy exits if another program has taken its
-/// port; it is then started with another port.
+/// Starts the proxy and waits until it is ready. If another program has taken its port in the
+/// meantime, the proxy exits, and is started again with another port.
 pub(super) async fn start(
     setup: &Setup,
     backends: &Backends,
@@ -40,14 +41,17 @@
         if let Some(proxy) = wait_until_ready(process).await? {
             return Ok(proxy);
         }
-        tracing::warn!("the proxy ended at its start; another port is tried");
+        tracing::warn!(
+            "the proxy exited before it was ready, possibly because its port was taken; it is \
+             started up to {START_ATTEMPTS} times, each time with another port"
+        );
     }
     Err(Failure::Measurement(MeasurementError::ProxyExitedAtStart {
         attempts: START_ATTEMPTS,
     }))
 }
 
-/// Waits until a proxy is ready; `None` if it exits before.
+/// Waits until a proxy is ready. Returns `None` if it exits before that.
 async fn wait_until_ready(
     mut process: ProxyProcess,
 ) -> Result<Option<ReadyProxy>, MeasurementError> {
@@ -94,7 +98,7 @@
     }))
 }
 
-/// The endpoint list as the configuration of a restarted proxy holds it.
+/// The endpoint list in the form in which the configuration of a restarted proxy contains it.
 fn known_list(count: usize, backends: &Backends) -> Value {
     let endpoints: Vec<_> = (0..count)
         .map(|backend| world::listed_endpoint(backend, backends.address(backend).to_string()))
