--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -125,7 +125,7 @@
     pub after_backend_ms: [f64; 2],
 }
 
-/// The longest round trips of probes under the load, for each sort of event during the probes.
+/// The longest round trips of probes under the load, for each kind of event during the probes.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct StallFigures {
     /// Stalls without an event.
@@ -134,7 +134,7 @@
     /// Stalls when one entry of the list changes.
     #[serde(rename = "stall_change")]
     pub change: Stall,
-    /// Stalls when a snapshot of the whole list arrives.
+    /// Stalls when a snapshot of the full list arrives.
     #[serde(rename = "stall_whole")]
     pub snapshot: Stall,
     /// The number of probes in each of these three cases, in the same order.
--- a/crates/fleet-simulator/src/real/client.rs
+++ b/crates/fleet-simulator/src/real/client.rs
@@ -36,7 +36,7 @@
     UnknownBody,
 }
 
-/// A response with its whole body.
+/// A response with its complete body.
 pub(super) struct ClientResponse {
     pub(super) status: StatusCode,
     pub(super) body: Bytes,
@@ -55,7 +55,7 @@
     Ok(sender)
 }
 
-/// Sends a request and reads the whole response.
+/// Sends a request and reads the complete response.
 pub(super) async fn exchange(
     connection: &mut Connection,
     request: Request<Empty<Bytes>>,
--- a/crates/fleet-simulator/src/real/discovery.rs
+++ b/crates/fleet-simulator/src/real/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery. It serves the whole endpoint list, and watches, which are calls that
+//! A stand-in for discovery. It serves the full endpoint list, and watches, which are calls that
 //! wait for changes of the list.
 
 use crate::failure::Failure;
@@ -36,8 +36,8 @@
 enum Change {
     /// The endpoint at this position has changed.
     Endpoint(usize),
-    /// Nothing has changed, but all watches get the whole list.
-    WholeList,
+    /// Nothing has changed, but all watches get the full list.
+    FullList,
 }
 
 /// The endpoint list and the history of its changes.
@@ -55,13 +55,13 @@
         self.changes.insert(self.version, change);
     }
 
-    /// The endpoints that have changed after a version; `None` if the whole list is to be sent.
+    /// The endpoints that have changed after a version; `None` if the full list is to be sent.
     fn changed_after(&self, version: u64) -> Option<Vec<&String>> {
         let changes = self.changes.range(version + 1..);
         changes
             .map(|(_, change)| match change {
                 Change::Endpoint(position) => Some(&self.endpoints[*position]),
-                Change::WholeList => None,
+                Change::FullList => None,
             })
             .collect()
     }
@@ -176,10 +176,10 @@
         self.version.send_replace(list.version);
     }
 
-    /// Sends the whole list to all watches.
+    /// Sends the full list to all watches.
     pub fn push_snapshot(&self) {
         let mut list = self.list();
-        list.add_version(Change::WholeList);
+        list.add_version(Change::FullList);
         self.version.send_replace(list.version);
     }
 
@@ -197,7 +197,7 @@
 /// The kind of a call, with its parameters.
 #[derive(Debug, PartialEq, Eq)]
 enum Query {
-    /// Asks for the whole list.
+    /// Asks for the full list.
     List,
     /// Asks for the changes after a version. The response is sent when there is a change, or at the
     /// end of the wait time.
--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -21,7 +21,7 @@
 use thiserror::Error;
 
 /// The remaining time that a client states in `X-Time-Left-Ms`, ms.
-const CLIENT_TIMEOUT_MS: u64 = 2_000;
+const TIME_LEFT_MS: u64 = 2_000;
 
 /// The observations of the clients.
 pub struct Observations {
@@ -226,7 +226,7 @@
         .header("host", "backend.local")
         .header("x-correlation-id", format!("{correlation_id:016x}"))
         .header("x-service-class", "read")
-        .header("x-time-left-ms", CLIENT_TIMEOUT_MS);
+        .header("x-time-left-ms", TIME_LEFT_MS);
     if let Some(tenant) = tenant {
         request = request.header("x-account", tenant_name(tenant));
     }
--- a/crates/fleet-simulator/src/real/measurements.rs
+++ b/crates/fleet-simulator/src/real/measurements.rs
@@ -13,9 +13,9 @@
 
 /// The load continues for this time after the end of the probes.
 const LOAD_AFTER_PROBES: Duration = Duration::from_secs(1);
-/// The number of sorts of events for which stalls are measured: no event, a change of one entry,
-/// and a snapshot of the whole list.
-const EVENT_SORTS: u32 = 3;
+/// The number of kinds of events for which stalls are measured: no event, a change of one entry,
+/// and a snapshot of the full list.
+const EVENT_KINDS: u32 = 3;
 
 /// The measurements of all phases of a cell.
 pub(super) struct Measurements {
@@ -57,7 +57,7 @@
     let loaded = process.usage()?;
 
     // The probes measure stalls of the data path under load, so the load continues during them.
-    let load_span = PROBE_SPAN * EVENT_SORTS + LOAD_AFTER_PROBES;
+    let load_span = PROBE_SPAN * EVENT_KINDS + LOAD_AFTER_PROBES;
     let probes = phases::run_probes(&process, backends, discovery);
     let (probe_phase, _) = tokio::join!(probes, load.run(load_span));
     let probe_phase = probe_phase?;
--- a/crates/fleet-simulator/src/real/phases.rs
+++ b/crates/fleet-simulator/src/real/phases.rs
@@ -101,7 +101,7 @@
 }
 
 /// Measures the stalls of the data path without an event, around changes of one entry of the list,
-/// and around snapshots of the whole list.
+/// and around snapshots of the full list.
 pub(super) async fn run_probes(
     process: &ProxyProcess,
     backends: &Backends,
--- a/crates/fleet-simulator/src/real/stall.rs
+++ b/crates/fleet-simulator/src/real/stall.rs
@@ -8,18 +8,18 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The number of events of each sort.
+/// The number of events of each kind.
 pub(super) const EVENTS: usize = 5;
 /// The time between events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(600);
 /// The stall of an event is the longest round trip that overlaps with this time span after the
 /// event.
 const STALL_WINDOW: Duration = Duration::from_millis(400);
-/// How long probes are sent around the events of one sort. This is a little longer than all
+/// How long probes are sent around the events of one kind. This is a little longer than all
 /// [`EVENTS`] take.
 pub(super) const PROBE_SPAN: Duration = Duration::from_millis(3_600);
 
-/// Statistics of the stalls around the events of one sort: of the longest round trip of a probe for
+/// Statistics of the stalls around the events of one kind: of the longest round trip of a probe for
 /// each event.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Stall {
@@ -56,7 +56,7 @@
         .fold(0.0, f64::max)
 }
 
-/// The stalls around the events of one sort.
+/// The stalls around the events of one kind.
 pub(super) struct StallMeasurement {
     pub(super) stall: Stall,
     /// The number of probes in the measurement.
