--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -30,7 +30,7 @@
     pub ready_secs: f64,
     /// The proxy's memory.
     #[serde(flatten)]
-    pub memory: MemoryFigures,
+    pub memory: MemoryUsage,
     /// The proxy's processor time.
     #[serde(flatten)]
     pub cpu: CpuFigures,
@@ -50,7 +50,7 @@
 
 /// The resident memory of the proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct MemoryFigures {
+pub struct MemoryUsage {
     /// Resident memory when the proxy is ready and has settled, MB.
     pub rss_start_mb: f64,
     /// Peak resident memory until the proxy is ready and has settled, MB.
@@ -150,7 +150,7 @@
             list_is_known: setup.list_is_known,
             requests_per_second: setup.requests_per_second,
             ready_secs: measurements.ready_after.as_secs_f64(),
-            memory: MemoryFigures::new(measurements),
+            memory: MemoryUsage::new(measurements),
             cpu: CpuFigures::new(measurements),
             discovery: DiscoveryFigures::new(measurements),
             requests: RequestFigures::new(&measurements.load),
@@ -160,11 +160,11 @@
     }
 }
 
-impl MemoryFigures {
-    fn new(measurements: &Measurements) -> MemoryFigures {
+impl MemoryUsage {
+    fn new(measurements: &Measurements) -> MemoryUsage {
         let settled = &measurements.idle.settled;
         let loaded = &measurements.loaded;
-        MemoryFigures {
+        MemoryUsage {
             rss_start_mb: megabytes(settled.rss_kb),
             hwm_start_mb: megabytes(settled.hwm_kb),
             rss_load_mb: megabytes(loaded.rss_kb),
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryFigures, RequestFigures, StallFigures,
+    Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryUsage, RequestFigures, StallFigures,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -40,8 +40,8 @@
     }
 }
 
-fn passing_memory() -> MemoryFigures {
-    MemoryFigures {
+fn passing_memory() -> MemoryUsage {
+    MemoryUsage {
         rss_start_mb: 4.0,
         hwm_start_mb: 4.0,
         rss_load_mb: 8.0,
