--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -33,7 +33,7 @@
     pub memory: MemoryUsage,
     /// The proxy's processor time.
     #[serde(flatten)]
-    pub cpu: CpuFigures,
+    pub cpu: CpuUsage,
     /// The proxy's discovery traffic.
     #[serde(flatten)]
     pub discovery: DiscoveryFigures,
@@ -65,7 +65,7 @@
 
 /// The processor time of the proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct CpuFigures {
+pub struct CpuUsage {
     /// Processor time in the idle phase, % of a core.
     pub cpu_idle_percent: f64,
     /// The duration of this measurement, s.
@@ -151,7 +151,7 @@
             requests_per_second: setup.requests_per_second,
             ready_secs: measurements.ready_after.as_secs_f64(),
             memory: MemoryUsage::new(measurements),
-            cpu: CpuFigures::new(measurements),
+            cpu: CpuUsage::new(measurements),
             discovery: DiscoveryFigures::new(measurements),
             requests: RequestFigures::new(&measurements.load),
             latency: LatencyFigures::new(&measurements.load.observations),
@@ -174,13 +174,13 @@
     }
 }
 
-impl CpuFigures {
-    fn new(measurements: &Measurements) -> CpuFigures {
+impl CpuUsage {
+    fn new(measurements: &Measurements) -> CpuUsage {
         let settled = &measurements.idle.settled;
         let idle = &measurements.idle.end;
         let loaded = &measurements.loaded;
         let end = &measurements.end;
-        CpuFigures {
+        CpuUsage {
             cpu_idle_percent: idle.core_percent_since(settled),
             idle_secs: idle.secs_since(settled),
             cpu_load_percent: loaded.core_percent_since(idle),
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryUsage, RequestFigures, StallFigures,
+    Cell, CpuUsage, DiscoveryFigures, LatencyFigures, MemoryUsage, RequestFigures, StallFigures,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -50,8 +50,8 @@
     }
 }
 
-fn passing_cpu() -> CpuFigures {
-    CpuFigures {
+fn passing_cpu() -> CpuUsage {
+    CpuUsage {
         cpu_idle_percent: 0.1,
         idle_secs: 20.0,
         cpu_load_percent: 2.0,
