--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -36,7 +36,7 @@
     pub cpu: CpuUsage,
     /// The proxy's discovery traffic.
     #[serde(flatten)]
-    pub discovery: DiscoveryFigures,
+    pub discovery: DiscoveryTraffic,
     /// The counts of requests and connections under the load.
     #[serde(flatten)]
     pub requests: RequestFigures,
@@ -83,7 +83,7 @@
 
 /// The traffic from discovery to the proxy.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct DiscoveryFigures {
+pub struct DiscoveryTraffic {
     /// Bytes until the proxy is ready and has settled, including the heads of responses.
     pub list_bytes: u64,
     /// Bytes per second while the list does not change.
@@ -152,7 +152,7 @@
             ready_secs: measurements.ready_after.as_secs_f64(),
             memory: MemoryUsage::new(measurements),
             cpu: CpuUsage::new(measurements),
-            discovery: DiscoveryFigures::new(measurements),
+            discovery: DiscoveryTraffic::new(measurements),
             requests: RequestFigures::new(&measurements.load),
             latency: LatencyFigures::new(&measurements.load.observations),
             stalls: StallFigures::new(&measurements.probes),
@@ -194,12 +194,12 @@
     }
 }
 
-impl DiscoveryFigures {
-    fn new(measurements: &Measurements) -> DiscoveryFigures {
+impl DiscoveryTraffic {
+    fn new(measurements: &Measurements) -> DiscoveryTraffic {
         let idle = &measurements.idle;
         let idle_bytes = idle.end_bytes - idle.settled_bytes;
         let idle_secs = idle.end.secs_since(&idle.settled);
-        DiscoveryFigures {
+        DiscoveryTraffic {
             list_bytes: idle.settled_bytes,
             idle_bytes_per_s: idle_bytes as f64 / idle_secs,
             change_bytes: measurements.probes.change_bytes,
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    Cell, CpuUsage, DiscoveryFigures, LatencyFigures, MemoryUsage, RequestFigures, StallFigures,
+    Cell, CpuUsage, DiscoveryTraffic, LatencyFigures, MemoryUsage, RequestFigures, StallFigures,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -23,7 +23,7 @@
         ready_secs: 0.1,
         memory: passing_memory(),
         cpu: passing_cpu(),
-        discovery: DiscoveryFigures {
+        discovery: DiscoveryTraffic {
             list_bytes: 26_080,
             idle_bytes_per_s: 30.0,
             change_bytes: 250.0,
