--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -39,7 +39,7 @@
     pub discovery: DiscoveryTraffic,
     /// The counts of requests and connections under the load.
     #[serde(flatten)]
-    pub requests: RequestFigures,
+    pub requests: RequestStatistics,
     /// The latency that the proxy added to requests.
     #[serde(flatten)]
     pub latency: LatencyFigures,
@@ -96,7 +96,7 @@
 
 /// The counts of requests and connections under the load.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct RequestFigures {
+pub struct RequestStatistics {
     /// Requests that backends received.
     #[serde(rename = "requests")]
     pub forwarded: u64,
@@ -153,7 +153,7 @@
             memory: MemoryUsage::new(measurements),
             cpu: CpuUsage::new(measurements),
             discovery: DiscoveryTraffic::new(measurements),
-            requests: RequestFigures::new(&measurements.load),
+            requests: RequestStatistics::new(&measurements.load),
             latency: LatencyFigures::new(&measurements.load.observations),
             stalls: StallFigures::new(&measurements.probes),
         }
@@ -208,9 +208,9 @@
     }
 }
 
-impl RequestFigures {
-    fn new(load: &LoadPhase) -> RequestFigures {
-        RequestFigures {
+impl RequestStatistics {
+    fn new(load: &LoadPhase) -> RequestStatistics {
+        RequestStatistics {
             forwarded: load.forwarded_requests,
             not_served: load.observations.not_served,
             new_connections_per_request: load.new_connections_per_request,
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    Cell, CpuUsage, DiscoveryTraffic, LatencyFigures, MemoryUsage, RequestFigures, StallFigures,
+    Cell, CpuUsage, DiscoveryTraffic, LatencyFigures, MemoryUsage, RequestStatistics, StallFigures,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -60,8 +60,8 @@
     }
 }
 
-fn passing_requests() -> RequestFigures {
-    RequestFigures {
+fn passing_requests() -> RequestStatistics {
+    RequestStatistics {
         forwarded: 8_400,
         not_served: NotServed {
             rejected: 3,
