--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -42,7 +42,7 @@
     pub requests: RequestStatistics,
     /// The latency that the proxy added to requests.
     #[serde(flatten)]
-    pub latency: LatencyFigures,
+    pub latency: AddedLatency,
     /// The stalls of the data path.
     #[serde(flatten)]
     pub stalls: StallFigures,
@@ -109,7 +109,7 @@
 
 /// The latency of served requests without the backend's service time.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct LatencyFigures {
+pub struct AddedLatency {
     /// The median, ms.
     pub added_p50_ms: f64,
     /// The 99th percentile, ms.
@@ -154,7 +154,7 @@
             cpu: CpuUsage::new(measurements),
             discovery: DiscoveryTraffic::new(measurements),
             requests: RequestStatistics::new(&measurements.load),
-            latency: LatencyFigures::new(&measurements.load.observations),
+            latency: AddedLatency::new(&measurements.load.observations),
             stalls: StallFigures::new(&measurements.probes),
         }
     }
@@ -218,10 +218,10 @@
     }
 }
 
-impl LatencyFigures {
-    fn new(observations: &Observations) -> LatencyFigures {
+impl AddedLatency {
+    fn new(observations: &Observations) -> AddedLatency {
         let added_latency = &observations.added_latency;
-        LatencyFigures {
+        AddedLatency {
             added_p50_ms: quantile_ms(added_latency, 0.5),
             added_p99_ms: quantile_ms(added_latency, 0.99),
             added_max_ms: millis(added_latency.max()),
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    Cell, CpuUsage, DiscoveryTraffic, LatencyFigures, MemoryUsage, RequestStatistics, StallFigures,
+    AddedLatency, Cell, CpuUsage, DiscoveryTraffic, MemoryUsage, RequestStatistics, StallFigures,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -72,8 +72,8 @@
     }
 }
 
-fn passing_latency() -> LatencyFigures {
-    LatencyFigures {
+fn passing_latency() -> AddedLatency {
+    AddedLatency {
         added_p50_ms: 1.0,
         added_p99_ms: 6.0,
         added_max_ms: 9.0,
