--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -45,7 +45,7 @@
     pub latency: AddedLatency,
     /// The stalls of the data path.
     #[serde(flatten)]
-    pub stalls: StallFigures,
+    pub stalls: StallsByEvent,
 }
 
 /// The resident memory of the proxy.
@@ -127,7 +127,7 @@
 
 /// The longest round trips of probes under the load, for each kind of event during the probes.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct StallFigures {
+pub struct StallsByEvent {
     /// Stalls without an event.
     #[serde(rename = "stall_plain")]
     pub without_event: Stall,
@@ -155,7 +155,7 @@
             discovery: DiscoveryTraffic::new(measurements),
             requests: RequestStatistics::new(&measurements.load),
             latency: AddedLatency::new(&measurements.load.observations),
-            stalls: StallFigures::new(&measurements.probes),
+            stalls: StallsByEvent::new(&measurements.probes),
         }
     }
 }
@@ -231,9 +231,9 @@
     }
 }
 
-impl StallFigures {
-    fn new(probes: &ProbePhase) -> StallFigures {
-        StallFigures {
+impl StallsByEvent {
+    fn new(probes: &ProbePhase) -> StallsByEvent {
+        StallsByEvent {
             without_event: probes.without_event.stall,
             change: probes.change.stall,
             snapshot: probes.snapshot.stall,
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    AddedLatency, Cell, CpuUsage, DiscoveryTraffic, MemoryUsage, RequestStatistics, StallFigures,
+    AddedLatency, Cell, CpuUsage, DiscoveryTraffic, MemoryUsage, RequestStatistics, StallsByEvent,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -31,7 +31,7 @@
         },
         requests: passing_requests(),
         latency: passing_latency(),
-        stalls: StallFigures {
+        stalls: StallsByEvent {
             without_event: stall,
             change: stall,
             snapshot: stall,
