--- a/crates/fleet-simulator/src/real/client.rs
+++ b/crates/fleet-simulator/src/real/client.rs
@@ -89,9 +89,9 @@
     pub duration: Duration,
 }
 
-/// Probes the proxy on one connection for the time `span`, with a pause of [`PROBE_INTERVAL`] after
-/// each probe. The proxy needs little time to answer a probe, so the longest round trip is about
-/// the longest time for which the proxy's only thread was busy with other work.
+/// Probes the proxy on one connection for the time `span`, with a pause of 1 ms after each probe.
+/// The proxy needs little time to answer a probe, so the longest round trip is about the longest
+/// time for which the proxy's only thread was busy with other work.
 pub async fn probe_for(proxy: SocketAddr, span: Duration) -> Result<Vec<RoundTrip>, Failure> {
     const STEP: &str = "probing the data path";
     // The probes run on a separate thread, so that the stand-ins do not delay them.
