--- a/crates/fleet-simulator/src/soak/checks.rs
+++ b/crates/fleet-simulator/src/soak/checks.rs
@@ -1,8 +1,8 @@
-//! The operators' rules, checked on the records of a run. All limits are theirs; each is 50 ms
-//! longer on sockets.
+//! Checks the operators' rules on the records of a run. All limits come from these rules. Limits on
+//! times that are taken at the sockets of the stand-ins are extended by [`SOCKET_SLACK_SECS`].
 
 use super::clients::{RESPONSE_GRACE_SECS, SOCKET_SLACK_SECS};
-use super::discovery::{group, ZONES};
+use super::discovery::{cell, ZONES};
 use super::plan::{ListSource, Plan};
 use super::proxies::{max_descriptors, MEMORY_MB};
 use super::records::{
@@ -11,57 +11,62 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// A change counts as notified so long after discovery had it and could be reached, s.
+/// A proxy that polls counts as notified of a change at the latest this long after discovery has
+/// the change and can be reached, s.
 const NOTIFICATION_SECS: f64 = 6.0;
-/// The same where an agent pushes changes, s: at once.
+/// A proxy to which an agent pushes changes counts as notified at the latest this long after
+/// discovery has the change and can be reached, s. Zero means without delay.
 const PUSH_NOTIFICATION_SECS: f64 = 0.0;
-/// After SIGHUP an agent's list counts so much later, s.
-const MOVE_SECS: f64 = 4.0;
-/// Requests to a draining or gone backend stop so long after the notification, s.
+/// The limit that replaces [`PUSH_NOTIFICATION_SECS`] if a SIGHUP changes the proxy's discovery
+/// address less than this time before or after discovery has the change and can be reached, s.
+const DISCOVERY_MOVE_SECS: f64 = 4.0;
+/// Attempts to a draining or gone backend have to stop within this time after the notification, s.
 const DRAIN_GRACE_SECS: f64 = 0.5;
-/// An attempt may begin so long after its client has left, s.
-const LEFT_GRACE_SECS: f64 = 0.1;
-/// A process is ready within so long, s.
+/// The latest time after its client has left at which an attempt may begin, s.
+const CLIENT_LEFT_GRACE_SECS: f64 = 0.1;
+/// A process has to be ready within this time after its start, s.
 const READY_SECS: f64 = 10.0;
-/// A process that could not be watched for [`READY_SECS`] is not judged before so long, s.
-const MIN_READY_SECS: f64 = 6.0;
-/// Requests that come later than that after SIGTERM may find their connection closed, s.
-const NEW_CONNECTION_SECS: f64 = 0.4;
+/// A process that was stopped before it was ready breaks the rule only if it was observed for
+/// longer than this time, s.
+const MIN_OBSERVED_SECS: f64 = 6.0;
+/// For this time after SIGTERM, s, a proxy may close a new connection without reading its request.
+const CLOSE_UNREAD_AFTER_SIGTERM_SECS: f64 = 0.4;
 
 /// A rule of the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each request that was read gets one response in time.
+    /// Each request that the proxy has read gets a response in time.
     Answered,
-    /// No response is followed by another.
+    /// No further bytes follow a response.
     AnsweredOnce,
-    /// A client gets the response that a backend made for its request.
+    /// A client gets the response to its own request.
     OwnResponse,
-    /// Nothing goes to a draining or gone backend after the grace.
+    /// No attempt is sent to a draining or gone backend after the grace period that follows the
+    /// notification.
     Drain,
-    /// A non-idempotent request does not run twice.
+    /// A non-idempotent request is executed at most once.
     SingleExecution,
-    /// An idempotency key is repeated only within its scope and window.
+    /// A request with an idempotency key is repeated only within the scope and the window of keys.
     KeyScope,
-    /// No attempt begins after its client has left.
+    /// No attempt begins after its client has left and the grace period is over.
     ClientLeft,
-    /// Processes do not crash, and are ready in time.
+    /// Processes do not crash, and become ready in time.
     Process,
-    /// Memory and descriptors are bounded.
+    /// Processes stay within their limits on memory and file descriptors.
     Limits,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When it was broken, s.
+    /// When it was broken, in seconds since the start of the run.
     pub at: f64,
-    /// The correlation id of the request, if it is about one.
+    /// The correlation id of the request, if the violation concerns a single request.
     pub request: Option<String>,
-    /// What was seen.
+    /// A description of what was observed.
     pub what: String,
 }
 
@@ -85,14 +90,14 @@
     }
 }
 
-/// The records of a run with what the checks look up in them.
+/// The plan and the records of a run, with an index of the attempts by correlation id.
 struct Checks<'a> {
     plan: &'a Plan,
     records: &'a Records,
     attempts: HashMap<&'a str, Vec<&'a AttemptRecord>>,
 }
 
-/// Checks all rules; the violations are in the order of time.
+/// Checks all rules, and returns the violations in the order of their times.
 pub fn check(plan: &Plan, records: &Records) -> Vec<Violation> {
     let mut attempts: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     for attempt in &records.attempts {
@@ -107,13 +112,13 @@
     for request in &records.requests {
         violations.extend(checks.check_response(request));
         violations.extend(checks.check_executions(request));
-        violations.extend(checks.check_after_leaving(request));
+        violations.extend(checks.check_attempts_after_leaving(request));
     }
     for attempt in &records.attempts {
         violations.extend(checks.check_drain(attempt));
     }
-    for id in &records.second_responses {
-        let what = "more bytes came after the response".to_string();
+    for id in &records.surplus_bytes_after {
+        let what = "more bytes followed the response".to_string();
         violations.push(Violation::of_request(Rule::AnsweredOnce, 0.0, id, what));
     }
     for process in &records.processes {
@@ -129,7 +134,7 @@
         self.attempts.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// The process that a request was sent to.
+    /// The process that a proxy had at a time: the last one that had been started by then.
     fn process_at(&self, proxy: usize, at: f64) -> Option<&ProcessRecord> {
         let started = |process: &&ProcessRecord| process.proxy == proxy && process.started_at <= at;
         let processes = self.records.processes.iter().filter(started);
@@ -147,43 +152,52 @@
         };
         let limit = request.deadline_at + RESPONSE_GRACE_SECS + SOCKET_SLACK_SECS;
         match request.end {
-            RequestEnd::Answered { is_own: false, .. } => {
-                violation(Rule::OwnResponse, "the response is another's".into())
-            }
+            RequestEnd::Answered { is_own: false, .. } => violation(
+                Rule::OwnResponse,
+                "the response belongs to another request".into(),
+            ),
             RequestEnd::Answered { .. } if request.ended_at > limit => {
                 let late = request.ended_at - request.deadline_at;
-                violation(Rule::Answered, format!("answered {late:.3} s too late"))
-            }
-            RequestEnd::Unanswered if !self.is_excused(request) => {
-                violation(Rule::Answered, "never answered".into())
-            }
-            RequestEnd::BrokenOff if !self.is_excused(request) => {
-                violation(Rule::Answered, "the response broke off".into())
+                violation(
+                    Rule::Answered,
+                    format!("answered {late:.3} s after its deadline"),
+                )
             }
-            RequestEnd::Closed if !self.is_excused(request) && self.was_read(request) => {
+            RequestEnd::Unanswered if !self.may_be_unanswered(request) => violation(
+                Rule::Answered,
+                "got no response within its deadline and the grace period".into(),
+            ),
+            RequestEnd::IncompleteResponse if !self.may_be_unanswered(request) => violation(
+                Rule::Answered,
+                "the response was incomplete or not valid HTTP".into(),
+            ),
+            RequestEnd::Closed if !self.may_be_unanswered(request) && self.was_read(request) => {
                 let attempts = self.attempts_of(&request.id).len();
-                let what = format!("closed without a response, {attempts} attempts");
+                let what =
+                    format!("connection closed without a response, after {attempts} attempts");
                 violation(Rule::Answered, what)
             }
             _ => None,
         }
     }
 
-    /// Whether the request ended because its process got SIGKILL without a warning.
-    fn is_excused(&self, request: &RequestRecord) -> bool {
+    /// Whether the request may get no response, because its process got SIGKILL without SIGTERM
+    /// before the request ended, or because no process had been started when it was sent.
+    fn may_be_unanswered(&self, request: &RequestRecord) -> bool {
         let Some(process) = self.process_at(request.proxy, request.sent_at) else {
             return true;
         };
-        let is_unannounced = process.terminated_at.is_none();
+        let got_no_sigterm = process.terminated_at.is_none();
         let is_killed = process
             .killed_at
             .is_some_and(|killed_at| killed_at <= request.ended_at);
-        is_unannounced && is_killed
+        got_no_sigterm && is_killed
     }
 
-    /// Whether a request whose connection was closed had been read. A request on a connection that
-    /// rested may cross the close, and a new connection may be closed unread by a proxy that shuts
-    /// down or whose descriptors are full.
+    /// Whether the proxy has read a request whose connection it closed. This is not known for a
+    /// request on a reused connection: the proxy may have closed the idle connection while the
+    /// request was on its way. A new connection may be closed unread by a proxy that shuts down or
+    /// has no free file descriptors.
     fn was_read(&self, request: &RequestRecord) -> bool {
         if !self.attempts_of(&request.id).is_empty() {
             return true;
@@ -192,13 +206,13 @@
         let is_shutting_down = process
             .and_then(|process| process.terminated_at)
             .is_some_and(|at| {
-                at <= request.ended_at && request.ended_at - at < NEW_CONNECTION_SECS
+                at <= request.ended_at && request.ended_at - at < CLOSE_UNREAD_AFTER_SIGTERM_SECS
             });
-        let is_crowded = self
+        let may_lack_descriptors = self
             .plan
-            .crowd
+            .descriptor_exhaustion
             .is_some_and(|span| span.from <= request.ended_at && request.sent_at <= span.to + 1.0);
-        request.is_first_on_connection && !is_shutting_down && !is_crowded
+        request.is_first_on_connection && !is_shutting_down && !may_lack_descriptors
     }
 
     fn check_executions(&self, request: &RequestRecord) -> Option<Violation> {
@@ -217,37 +231,42 @@
             Class::Read => None,
             Class::Pay => violation(
                 Rule::SingleExecution,
-                format!("{} backends may have executed it", executed.len()),
+                format!("{} attempts may have been executed", executed.len()),
             ),
             Class::Vote => {
                 let is_out_of_scope =
                     |attempt: &&&&AttemptRecord| !self.shares_keys(first.backend, attempt.backend);
                 if let Some(other) = later.iter().find(is_out_of_scope) {
-                    let what = format!("from backend {} to {}", first.backend, other.backend);
+                    let what = format!(
+                        "repeated on backend {}, which does not share keys with backend {}",
+                        other.backend, first.backend
+                    );
                     return violation(Rule::KeyScope, what);
                 }
                 let window = self.plan.key_window_secs + SOCKET_SLACK_SECS;
                 let after = last.first_byte_at - first.first_byte_at;
-                let what = format!("repeated {after:.3} s after the first attempt");
+                let what =
+                    format!("repeated {after:.3} s after the first attempt, beyond the key window");
                 (after > window).then(|| violation(Rule::KeyScope, what))?
             }
         }
     }
 
-    /// Whether two backends discard each other's duplicates.
+    /// Whether two backends are in the same key scope, so that each discards duplicates of requests
+    /// that the other has received.
     fn shares_keys(&self, one: usize, other: usize) -> bool {
         match self.plan.key_scope {
             "zone" => one % ZONES.len() == other % ZONES.len(),
-            "cell" => group(one) == group(other),
+            "cell" => cell(one) == cell(other),
             _ => true,
         }
     }
 
-    fn check_after_leaving(&self, request: &RequestRecord) -> Option<Violation> {
+    fn check_attempts_after_leaving(&self, request: &RequestRecord) -> Option<Violation> {
         if request.end != RequestEnd::ClientLeft {
             return None;
         }
-        let limit = request.ended_at + LEFT_GRACE_SECS + SOCKET_SLACK_SECS;
+        let limit = request.ended_at + CLIENT_LEFT_GRACE_SECS + SOCKET_SLACK_SECS;
         let late = self
             .attempts_of(&request.id)
             .iter()
@@ -269,13 +288,13 @@
         });
         let change = changes.find(|change| {
             let notified_at = self.notified_at(attempt.proxy, change);
-            let is_over = attempt.first_byte_at > notified_at + limit;
-            !change.is_ready && is_over && !self.is_back(attempt, change)
+            let is_after_limit = attempt.first_byte_at > notified_at + limit;
+            !change.is_ready && is_after_limit && !self.is_ready_again(attempt, change)
         })?;
         let after = attempt.first_byte_at - self.notified_at(attempt.proxy, change);
         let what = format!(
-            "proxy {} sent to backend {} {after:.3} s after it counted as notified (change {} at \
-             {:.3} s)",
+            "proxy {} sent an attempt to backend {} {after:.3} s after the notification that the \
+             backend is unavailable (list version {} at {:.3} s)",
             attempt.proxy, attempt.backend, change.version, change.at
         );
         Some(Violation::of_request(
@@ -288,9 +307,11 @@
 
     /// Whether a later list, in which the backend is ready again, was written to the proxy before
     /// the attempt.
-    fn is_back(&self, attempt: &AttemptRecord, gone: &ListChange) -> bool {
+    fn is_ready_again(&self, attempt: &AttemptRecord, unavailable: &ListChange) -> bool {
         let mut later = self.records.changes.iter().filter(|change| {
-            change.backend == attempt.backend && change.is_ready && change.version > gone.version
+            change.backend == attempt.backend
+                && change.is_ready
+                && change.version > unavailable.version
         });
         later.any(|change| {
             self.written_at(attempt.proxy, change)
@@ -307,14 +328,17 @@
         times.min_by(f64::total_cmp)
     }
 
-    /// When a proxy counts as notified of a change.
+    /// When a proxy counts as notified of a change: when a list with the change was first written
+    /// to it, or at the end of the allowed delay, whichever is earlier.
     fn notified_at(&self, proxy: usize, change: &ListChange) -> f64 {
         let reachable_at = match self.plan.discovery_fault {
             Some((_, span)) if span.contains(change.at) => span.to,
             _ => change.at,
         };
         let limit = match self.plan.list_source {
-            ListSource::Push if self.has_moved(proxy, reachable_at) => MOVE_SECS,
+            ListSource::Push if self.discovery_address_changes_near(proxy, reachable_at) => {
+                DISCOVERY_MOVE_SECS
+            }
             ListSource::Push => PUSH_NOTIFICATION_SECS,
             ListSource::Poll => NOTIFICATION_SECS,
         };
@@ -323,43 +347,51 @@
             .map_or(latest, |written| written.min(latest))
     }
 
-    /// Whether the proxy's discovery address changed not long before a time.
-    fn has_moved(&self, proxy: usize, at: f64) -> bool {
+    /// Whether a change of the proxy's discovery address is planned less than
+    /// [`DISCOVERY_MOVE_SECS`] before or after a time.
+    fn discovery_address_changes_near(&self, proxy: usize, at: f64) -> bool {
         let mut signals = self.plan.signals.iter();
         signals.any(|s| {
-            let is_hangup = s.signal == super::plan::ProxySignal::MoveDiscovery;
-            s.proxy == proxy && is_hangup && (s.at - at).abs() < MOVE_SECS
+            let is_move = s.signal == super::plan::ProxySignal::MoveDiscovery;
+            s.proxy == proxy && is_move && (s.at - at).abs() < DISCOVERY_MOVE_SECS
         })
     }
 
     fn check_process(&self, process: &ProcessRecord) -> Option<Violation> {
         if process.has_crashed {
-            let what = "the process ended by itself".to_string();
+            let what = "the process exited with a failure, or without SIGTERM".to_string();
             return Some(Violation::of_process(Rule::Process, process, what));
         }
         let ended_at = process.killed_at.or(process.exited_at);
         let stopped_at = process.terminated_at.or(ended_at);
-        let judged_until = stopped_at.unwrap_or(f64::INFINITY);
+        let observed_until = stopped_at.unwrap_or(f64::INFINITY);
         let time = process.ready_at.map(|ready| ready - process.started_at);
         let is_late = match time {
             Some(time) => time > READY_SECS,
-            None => judged_until - process.started_at > MIN_READY_SECS,
+            None => observed_until - process.started_at > MIN_OBSERVED_SECS,
         };
-        let is_crowded = self.plan.crowd.is_some();
-        (is_late && !is_crowded).then(|| {
-            let what = format!("ready after {time:?} s");
+        let exhausts_descriptors = self.plan.descriptor_exhaustion.is_some();
+        (is_late && !exhausts_descriptors).then(|| {
+            let what = match time {
+                Some(time) => format!("the process was ready only {time:.3} s after its start"),
+                None => "the process was not ready while it was observed".to_string(),
+            };
             Violation::of_process(Rule::Process, process, what)
         })
     }
 
     fn check_limits(&self, process: &ProcessRecord) -> Option<Violation> {
         let max_descriptors = max_descriptors(self.plan);
-        let is_kept =
+        let is_within_limits =
             process.max_memory_kb <= MEMORY_MB * 1024 && process.max_descriptors <= max_descriptors;
-        (!is_kept).then(|| {
+        (!is_within_limits).then(|| {
             let what = format!(
-                "{} KB of memory, {} of {max_descriptors} descriptors at {:.3} s",
-                process.max_memory_kb, process.max_descriptors, process.max_descriptors_at
+                "used {} KB of memory (limit {} KB), and {} file descriptors at {:.3} s (limit \
+                 {max_descriptors})",
+                process.max_memory_kb,
+                MEMORY_MB * 1024,
+                process.max_descriptors,
+                process.max_descriptors_at
             );
             Violation::of_process(Rule::Limits, process, what)
         })
--- a/crates/fleet-simulator/src/soak/discovery.rs
+++ b/crates/fleet-simulator/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery: two addresses for each proxy, which serve the same list, and the
-//! faults of the plan.
+//! A stand-in for discovery. It serves the same endpoint list on two addresses for each proxy, and
+//! injects the discovery fault of the plan.
 
 use super::http::{Message, MessageReader};
 use super::plan::{BackendFault, DiscoveryFault, Plan, Span, PROXIES};
@@ -16,32 +16,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Addresses of discovery that a proxy can be moved between.
-pub const ADDRESSES: usize = 2;
-/// The range of the time that an overloaded service takes for a call, s.
+/// The number of discovery addresses that a proxy can be moved between.
+pub const ADDRESSES_PER_PROXY: usize = 2;
+/// The range of the time that a call waits in the queue of an overloaded service, s.
 const QUEUE_SECS: std::ops::Range<f64> = 0.5..3.0;
-/// An overloaded service fails a call that has waited for so long, s.
+/// An overloaded service answers a call with status 503 after it has waited for this time, s.
 const QUEUE_TIMEOUT_SECS: f64 = 2.0;
-/// A process that has ended is listed as gone, and a new one as ready, after so long, s.
+/// The delay after which discovery lists a process that has ended as gone, and a new one as ready,
+/// s.
 const LISTING_DELAY_SECS: f64 = 0.3;
-/// The zones of the backends, in turn.
+/// The zones. Backends are assigned to them in turn.
 pub const ZONES: [&str; 2] = ["east", "west"];
 
-/// An entry of the list.
+/// The part of an endpoint list entry that changes during a run.
 #[derive(Clone)]
 struct Entry {
     status: &'static str,
     started_at_ms: u64,
 }
 
-/// The state of the list in each of its versions.
+/// All versions of the endpoint list.
 struct Versions {
+    /// The entries of each version, by version and backend.
     by_version: Vec<Vec<Entry>>,
     /// The newest version that was written to each proxy.
-    written: [usize; PROXIES],
+    last_written: [usize; PROXIES],
 }
 
-/// Discovery.
+/// The stand-in for discovery. All clones share its state.
 #[derive(Clone)]
 pub struct Discovery {
     addresses: Arc<Vec<[SocketAddr; PROXIES]>>,
@@ -49,21 +51,21 @@
     version: watch::Sender<usize>,
     fault: Option<(DiscoveryFault, Span)>,
     seed: u64,
-    /// Connections so far.
+    /// The number of connections accepted so far.
     connections: Arc<AtomicU64>,
     clock: RunClock,
     recorder: Recorder,
 }
 
 impl Discovery {
-    /// Starts discovery for backends at these addresses; returns its own by proxy.
+    /// Starts discovery for backends at these addresses. Returns its own addresses by proxy.
     pub async fn start(
         plan: &Plan,
         backends: Vec<[SocketAddr; PROXIES]>,
         clock: RunClock,
         recorder: &Recorder,
-    ) -> Result<(Discovery, [[SocketAddr; ADDRESSES]; PROXIES]), Failure> {
-        const STEP: &str = "discovery's listener";
+    ) -> Result<(Discovery, [[SocketAddr; ADDRESSES_PER_PROXY]; PROXIES]), Failure> {
+        const STEP: &str = "starting the listener of discovery";
         let entry = Entry {
             status: "ready",
             started_at_ms: 0,
@@ -73,7 +75,7 @@
             addresses: Arc::new(backends),
             versions: Arc::new(Mutex::new(Versions {
                 by_version: vec![first],
-                written: [0; PROXIES],
+                last_written: [0; PROXIES],
             })),
             version: watch::Sender::new(0),
             fault: plan.discovery_fault,
@@ -82,24 +84,25 @@
             clock,
             recorder: recorder.clone(),
         };
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut own = [[any; ADDRESSES]; PROXIES];
-        for (proxy, addresses) in own.iter_mut().enumerate() {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut own_addresses = [[any_port; ADDRESSES_PER_PROXY]; PROXIES];
+        for (proxy, addresses) in own_addresses.iter_mut().enumerate() {
             for address in addresses {
-                let listener = TcpListener::bind(any)
+                let listener = TcpListener::bind(any_port)
                     .await
                     .map_err(Failure::in_step(STEP))?;
                 *address = listener.local_addr().map_err(Failure::in_step(STEP))?;
                 tokio::spawn(discovery.clone().accept(listener, proxy));
             }
         }
-        tokio::spawn(discovery.clone().follow_plan(plan.clone()));
-        Ok((discovery, own))
+        tokio::spawn(discovery.clone().apply_plan(plan.clone()));
+        Ok((discovery, own_addresses))
     }
 
-    /// The list as it was last written to a proxy, for the configuration of its next process.
+    /// The full list in the version that was last written to a proxy. The configuration of the
+    /// proxy's next process contains it.
     pub fn known_list(&self, proxy: usize) -> Value {
-        let version = self.versions().written[proxy];
+        let version = self.versions().last_written[proxy];
         self.snapshot(proxy, version)
     }
 
@@ -109,8 +112,8 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Changes the list as backends drain, end and come back.
-    async fn follow_plan(self, plan: Plan) {
+    /// Adds a version of the list whenever a backend drains, ends or starts again.
+    async fn apply_plan(self, plan: Plan) {
         let mut changes: Vec<(f64, usize, &'static str)> = Vec::new();
         for planned in &plan.backend_faults {
             let (backend, span) = (planned.backend, planned.span);
@@ -163,15 +166,16 @@
     async fn serve(self, mut stream: TcpStream, proxy: usize) {
         let is_served = tokio::select! {
             () = self.serve_calls(&mut stream, proxy) => true,
-            () = self.goes_down() => false,
+            () = self.wait_until_down() => false,
         };
         if !is_served {
             let _ = stream.set_zero_linger();
         }
     }
 
-    /// Returns while discovery is down.
-    async fn goes_down(&self) {
+    /// Waits until discovery is down: returns at the start of that fault, or immediately during it.
+    /// Never returns otherwise.
+    async fn wait_until_down(&self) {
         match self.fault {
             Some((DiscoveryFault::Down, span)) if self.clock.now() < span.to => {
                 self.clock.sleep_until(span.from).await;
@@ -192,10 +196,10 @@
                 }
                 Some((DiscoveryFault::Overloaded, _)) => {
                     let queued = random.random_range(QUEUE_SECS);
-                    let waits = Duration::from_secs_f64(queued.min(QUEUE_TIMEOUT_SECS));
+                    let wait = Duration::from_secs_f64(queued.min(QUEUE_TIMEOUT_SECS));
                     tokio::select! {
-                        () = tokio::time::sleep(waits) => {}
-                        () = closed(stream) => return,
+                        () = tokio::time::sleep(wait) => {}
+                        () = wait_until_closed(stream) => return,
                     }
                     if queued > QUEUE_TIMEOUT_SECS {
                         let failure = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n";
@@ -216,13 +220,13 @@
             .filter(|(_, span)| span.contains(self.clock.now()))
     }
 
-    /// Answers a call when there is something new or its wait is over, but not while it stalls.
-    /// Returns whether the connection goes on.
+    /// Answers a call when the list has changed or the call's wait time is over, but not while the
+    /// fault `Stalled` is active. Returns whether the connection can be used for another call.
     async fn answer(&self, stream: &mut TcpStream, call: &Message, proxy: usize) -> bool {
         let after: Option<usize> = parameter(call.target(), "after");
         let is_open = tokio::select! {
-            () = self.wait_for_news(call, after) => true,
-            () = closed(stream) => false,
+            () = self.wait_for_change(call, after) => true,
+            () = wait_until_closed(stream) => false,
         };
         if !is_open {
             return false;
@@ -241,7 +245,7 @@
         true
     }
 
-    async fn wait_for_news(&self, call: &Message, after: Option<usize>) {
+    async fn wait_for_change(&self, call: &Message, after: Option<usize>) {
         if let Some(after) = after {
             let wait = parameter(call.target(), "wait_ms").unwrap_or(0);
             let mut version = self.version.subscribe();
@@ -254,7 +258,7 @@
     }
 
     fn record_write(&self, proxy: usize, version: usize) {
-        self.versions().written[proxy] = version;
+        self.versions().last_written[proxy] = version;
         self.recorder.lock().writes.push(ListWrite {
             proxy,
             version,
@@ -275,7 +279,7 @@
         json!({"index": version, "snapshot": false, "endpoints": endpoints})
     }
 
-    /// The whole list; a backend that it lacks is gone.
+    /// The full list. A backend that is missing from it is gone.
     fn snapshot(&self, proxy: usize, version: usize) -> Value {
         let entries = self.versions().by_version[version].clone();
         let listed = entries
@@ -294,7 +298,7 @@
             "address": self.addresses[backend][proxy].to_string(),
             "zone": ZONES[backend % ZONES.len()],
             "type": "m1",
-            "group": group(backend),
+            "group": cell(backend),
             "status": entry.status,
             "weight": 1.0,
             "since_ms": entry.started_at_ms,
@@ -302,17 +306,17 @@
     }
 }
 
-/// Returns when the proxy has closed the connection. What is written after that would count as
-/// written to the proxy.
-async fn closed(stream: &TcpStream) {
+/// Returns when the proxy has closed the connection. A list that is written after that would be
+/// recorded as written to the proxy, although the proxy can't read it.
+async fn wait_until_closed(stream: &TcpStream) {
     match stream.peek(&mut [0]).await {
         Ok(0) | Err(_) => {}
         Ok(_) => std::future::pending().await,
     }
 }
 
-/// The cell of a backend: two of one zone share one.
-pub fn group(backend: usize) -> usize {
+/// The cell of a backend. Two backends of the same zone form a cell.
+pub fn cell(backend: usize) -> usize {
     backend / (2 * ZONES.len()) * ZONES.len() + backend % ZONES.len()
 }
 
--- a/crates/fleet-simulator/src/soak/proxies.rs
+++ b/crates/fleet-simulator/src/soak/proxies.rs
@@ -1,6 +1,7 @@
-//! The proxies of a run as processes, and the front that leads clients to them.
+//! The proxy processes of a run, and the load balancer in front of them, through which clients
+//! connect.
 
-use super::discovery::{Discovery, ADDRESSES, ZONES};
+use super::discovery::{Discovery, ADDRESSES_PER_PROXY, ZONES};
 use super::plan::{ListSource, Plan, PlannedSignal, ProxySignal, PROXIES};
 use super::records::{LogLine, ProcessRecord, Recorder, RunClock};
 use crate::failure::{Failure, InputError};
@@ -18,55 +19,59 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// New connections keep coming for so long after SIGTERM, s.
-const FRONT_DELAY_SECS: f64 = 0.3;
-/// SIGKILL comes so long after the longest deadline after SIGTERM, s.
+/// The load balancer in front goes on sending new connections to a proxy for this time after
+/// SIGTERM, s.
+const NEW_CONNECTIONS_AFTER_SIGTERM_SECS: f64 = 0.3;
+/// The time from the end of the longest deadline after SIGTERM until SIGKILL, s.
 const KILL_DELAY_SECS: f64 = 0.7;
-/// The longest deadline that delays SIGKILL, s.
+/// The upper limit on the deadline that SIGKILL waits for, s.
 const MAX_KILL_DEADLINE_SECS: f64 = 3.0;
-/// A new process is started so long after the one before it has ended, s.
-const RESTART_SECS: f64 = 0.1;
-/// A new process gets no signal for so long, s: it has to catch signals first.
+/// The pause between the end of a process and the start of the next one, s.
+const RESTART_DELAY_SECS: f64 = 0.1;
+/// A new process gets no signal during this time, s. Until it has installed its signal handlers,
+/// a signal would end it.
 const SIGNAL_DELAY_SECS: f64 = 0.2;
-/// Interval of the looks at a process, s.
-const LOOK_SECS: f64 = 0.02;
-/// Descriptors that a proxy may hold, usually, and where a crowd is to fill them.
-const DESCRIPTORS: usize = 512;
-const DESCRIPTORS_IN_CROWD: usize = 128;
-/// Memory that a proxy may take, MiB.
+/// The interval at which the state and the resources of a process are sampled, s.
+const SAMPLE_INTERVAL_SECS: f64 = 0.02;
+/// The limit on the file descriptors of a proxy, in runs that do not exhaust them.
+const MAX_DESCRIPTORS: usize = 512;
+/// The limit on the file descriptors of a proxy, in runs where idle connections exhaust them.
+const MAX_DESCRIPTORS_IN_EXHAUSTION: usize = 128;
+/// The memory limit of a proxy, MiB.
 pub const MEMORY_MB: u64 = 64;
 
-/// Descriptors that a proxy of this plan may hold.
+/// The limit on the file descriptors of a proxy in a run with this plan.
 pub fn max_descriptors(plan: &Plan) -> usize {
-    if plan.crowd.is_some() {
-        DESCRIPTORS_IN_CROWD
+    if plan.descriptor_exhaustion.is_some() {
+        MAX_DESCRIPTORS_IN_EXHAUSTION
     } else {
-        DESCRIPTORS
+        MAX_DESCRIPTORS
     }
 }
 
-/// Which proxies take new connections, and where.
+/// The load balancer in front of the proxies: it knows their addresses, and which of them accept
+/// new connections.
 #[derive(Clone)]
-pub struct Fronts {
+pub struct FrontLoadBalancer {
     addresses: [SocketAddr; PROXIES],
     open: Arc<[AtomicBool; PROXIES]>,
 }
 
-impl Fronts {
-    /// Proxies at these addresses, none of which takes connections yet.
-    pub fn new(addresses: [SocketAddr; PROXIES]) -> Fronts {
-        Fronts {
+impl FrontLoadBalancer {
+    /// Creates a load balancer for proxies at these addresses. None accepts connections yet.
+    pub fn new(addresses: [SocketAddr; PROXIES]) -> FrontLoadBalancer {
+        FrontLoadBalancer {
             addresses,
             open: Arc::default(),
         }
     }
 
-    /// Where a proxy listens.
+    /// The address that a proxy listens on.
     pub fn address(&self, proxy: usize) -> SocketAddr {
         self.addresses[proxy]
     }
 
-    /// A proxy that takes new connections.
+    /// Picks a random proxy among those that accept new connections; `None` if there is none.
     pub fn pick(&self, random: &mut Pcg64Mcg) -> Option<usize> {
         let open: Vec<usize> = (0..PROXIES)
             .filter(|proxy| self.open[*proxy].load(SeqCst))
@@ -74,32 +79,32 @@
         open.choose(random).copied()
     }
 
-    fn set(&self, proxy: usize, is_open: bool) {
+    fn set_open(&self, proxy: usize, is_open: bool) {
         self.open[proxy].store(is_open, SeqCst);
     }
 }
 
-/// One proxy over all of its processes.
+/// One proxy of a run, with all of the processes that run for it one after another.
 pub struct Proxy {
-    /// Its number.
+    /// The number of the proxy.
     pub number: usize,
-    /// The program.
+    /// The proxy's executable file.
     pub program: PathBuf,
     /// The plan of the run.
     pub plan: Plan,
-    /// Its addresses of discovery.
-    pub discovery_addresses: [SocketAddr; ADDRESSES],
-    /// Discovery, which knows the list that was written to it last.
+    /// The discovery addresses that this proxy can be moved between.
+    pub discovery_addresses: [SocketAddr; ADDRESSES_PER_PROXY],
+    /// Discovery, which knows the endpoint list that it last wrote to this proxy.
     pub discovery: Discovery,
-    /// The front.
-    pub fronts: Fronts,
+    /// The load balancer in front of the proxies.
+    pub load_balancer: FrontLoadBalancer,
     /// The clock of the run.
     pub clock: RunClock,
-    /// Where its processes are recorded.
+    /// Records the processes and their logs.
     pub recorder: Recorder,
 }
 
-/// A running process.
+/// A running process of a proxy. Dropping it kills the process.
 struct RunningProcess {
     child: Child,
     record: ProcessRecord,
@@ -112,28 +117,30 @@
     }
 }
 
-/// What a process is watched for until a time comes.
-enum Watched {
-    /// The time has come.
+/// Why the monitoring of a process ended.
+enum MonitorResult {
+    /// The time until which it was to be monitored was reached.
     TimeReached,
-    /// The process has ended by itself.
+    /// The process exited before that time.
     Exited,
 }
 
 impl Proxy {
-    /// Runs its processes and sends its signals until the run ends at `end`.
+    /// Runs the processes of the proxy and sends its signals until the run ends at `end`, s.
     pub async fn run(self, end: f64) -> Result<(), Failure> {
         let mut discovery_index = 0;
         let mut process = self.start(discovery_index)?;
         let signals: Vec<PlannedSignal> = self.plan.signals.clone();
         for planned in signals.iter().filter(|s| s.proxy == self.number) {
             if planned.at < process.record.started_at + SIGNAL_DELAY_SECS {
-                continue; // it was sent during the shutdown, or the new process has just begun
+                // The signal was sent during the shutdown, or the new process may not have
+                // installed its signal handlers yet.
+                continue;
             }
-            self.watch(&mut process, planned.at).await;
+            self.monitor(&mut process, planned.at).await;
             match planned.signal {
                 ProxySignal::MoveDiscovery => {
-                    discovery_index = (discovery_index + 1) % ADDRESSES;
+                    discovery_index = (discovery_index + 1) % ADDRESSES_PER_PROXY;
                     self.write_config(&self.config(discovery_index).to_string())?;
                     signal(&process, "-HUP");
                 }
@@ -148,45 +155,55 @@
                 ProxySignal::Kill => {
                     process.record.killed_at = Some(self.clock.now());
                     let _ = process.child.kill();
-                    self.fronts.set(self.number, false);
+                    self.load_balancer.set_open(self.number, false);
                     process = self.replace(process, discovery_index).await?;
                 }
             }
         }
-        self.watch(&mut process, end).await;
+        self.monitor(&mut process, end).await;
         self.record(&process);
         let _ = std::fs::remove_file(self.config_file());
         Ok(())
     }
 
-    /// SIGTERM, and SIGKILL at the earliest that the operators allow.
+    /// Sends SIGTERM, and if the process is still running at the earliest time that the operators'
+    /// rules allow, SIGKILL.
     async fn shut_down(&self, process: &mut RunningProcess) {
         let now = self.clock.now();
         process.record.terminated_at = Some(now);
         signal(process, "-TERM");
         let deadline = self.plan.deadline_secs.min(MAX_KILL_DEADLINE_SECS);
         let kill_at = now + deadline + KILL_DELAY_SECS;
-        let front = self.fronts.clone();
+        let load_balancer = self.load_balancer.clone();
         let (clock, number) = (self.clock, self.number);
         tokio::spawn(async move {
-            clock.sleep_until(now + FRONT_DELAY_SECS).await;
-            front.set(number, false);
+            clock
+                .sleep_until(now + NEW_CONNECTIONS_AFTER_SIGTERM_SECS)
+                .await;
+            load_balancer.set_open(number, false);
         });
-        // SIGHUP also comes during the shutdown; the file stays as it is.
-        let hangups = self.plan.signals.iter().filter(|s| {
-            let is_hangup = matches!(
+        // Planned SIGHUPs are also sent during the shutdown. They do not change the configuration
+        // file.
+        let sighups = self.plan.signals.iter().filter(|s| {
+            let is_sighup = matches!(
                 s.signal,
                 ProxySignal::MoveDiscovery | ProxySignal::UnreadableConfiguration
             );
-            s.proxy == self.number && is_hangup && s.at > now && s.at < kill_at
+            s.proxy == self.number && is_sighup && s.at > now && s.at < kill_at
         });
-        for hangup in hangups.copied().collect::<Vec<_>>() {
-            if matches!(self.watch(process, hangup.at).await, Watched::Exited) {
+        for sighup in sighups.copied().collect::<Vec<_>>() {
+            if matches!(
+                self.monitor(process, sighup.at).await,
+                MonitorResult::Exited
+            ) {
                 return;
             }
             signal(process, "-HUP");
         }
-        if matches!(self.watch(process, kill_at).await, Watched::TimeReached) {
+        if matches!(
+            self.monitor(process, kill_at).await,
+            MonitorResult::TimeReached
+        ) {
             process.record.killed_at = Some(self.clock.now());
             let _ = process.child.kill();
         }
@@ -200,39 +217,40 @@
         let _ = old.child.wait();
         self.record(&old);
         drop(old);
-        self.fronts.set(self.number, false);
-        tokio::time::sleep(Duration::from_secs_f64(RESTART_SECS)).await;
+        self.load_balancer.set_open(self.number, false);
+        tokio::time::sleep(Duration::from_secs_f64(RESTART_DELAY_SECS)).await;
         self.start(discovery_index)
     }
 
-    /// Looks at a process until a time: whether it is ready, has ended, and what it holds.
-    async fn watch(&self, process: &mut RunningProcess, until: f64) -> Watched {
+    /// Monitors a process until a time: records when it is ready, when it ends, and the most memory
+    /// and file descriptors that it holds.
+    async fn monitor(&self, process: &mut RunningProcess, until: f64) -> MonitorResult {
         while self.clock.now() < until {
-            self.sample(process);
+            self.sample_resources(process);
             if let Ok(Some(status)) = process.child.try_wait() {
                 if process.record.exited_at.is_none() {
                     process.record.exited_at = Some(self.clock.now());
-                    let is_asked = process.record.terminated_at.is_some();
-                    process.record.has_crashed = !status.success() || !is_asked;
+                    let is_exit_requested = process.record.terminated_at.is_some();
+                    process.record.has_crashed = !status.success() || !is_exit_requested;
                 }
-                return Watched::Exited;
+                return MonitorResult::Exited;
             }
-            let is_new = process.record.ready_at.is_none();
-            if is_new && is_ready(self.fronts.address(self.number)).await {
+            let is_starting = process.record.ready_at.is_none();
+            if is_starting && is_ready(self.load_balancer.address(self.number)).await {
                 process.record.ready_at = Some(self.clock.now());
                 if process.record.terminated_at.is_none() {
-                    self.fronts.set(self.number, true);
+                    self.load_balancer.set_open(self.number, true);
                 }
             }
-            let pause = LOOK_SECS.min((until - self.clock.now()).max(0.0));
+            let pause = SAMPLE_INTERVAL_SECS.min((until - self.clock.now()).max(0.0));
             tokio::time::sleep(Duration::from_secs_f64(pause)).await;
         }
-        Watched::TimeReached
+        MonitorResult::TimeReached
     }
 
-    fn sample(&self, process: &mut RunningProcess) {
-        // Until it executes its program, the process holds the descriptors of this one.
-        if self.clock.now() < process.record.started_at + LOOK_SECS {
+    fn sample_resources(&self, process: &mut RunningProcess) {
+        // A forked process holds the descriptors of its parent until it executes its program.
+        if self.clock.now() < process.record.started_at + SAMPLE_INTERVAL_SECS {
             return;
         }
         let Ok(stat) = Process::new(process.child.id() as i32) else {
@@ -287,14 +305,15 @@
     }
 
     fn write_config(&self, text: &str) -> Result<(), Failure> {
-        std::fs::write(self.config_file(), text)
-            .map_err(Failure::in_step("the configuration's file"))
+        std::fs::write(self.config_file(), text).map_err(Failure::in_step(
+            "writing the configuration file of a proxy",
+        ))
     }
 
     fn config(&self, discovery_index: usize) -> Value {
         json!({
             "name": format!("n{}", self.number),
-            "listen": self.fronts.address(self.number).to_string(),
+            "listen": self.load_balancer.address(self.number).to_string(),
             "discovery": self.discovery_addresses[discovery_index].to_string(),
             "seed": format!("{:x}", self.plan.seed.wrapping_mul(31) + self.number as u64 + 1),
             "limits": {
@@ -369,7 +388,7 @@
     matches!(tokio::time::timeout(limit, check).await, Ok(Some(200)))
 }
 
-/// Collects the lines that a process writes to standard error, until it ends.
+/// Records the lines that a process writes to standard error, until it ends.
 fn collect_log(stderr: ChildStderr, proxy: usize, recorder: Recorder) {
     std::thread::spawn(move || {
         for text in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -378,14 +397,14 @@
     });
 }
 
-/// The program, if it is there.
+/// Checks that the proxy's executable file exists.
 pub fn check_program(program: &Path) -> Result<(), InputError> {
     if program.is_file() {
         return Ok(());
     }
     Err(InputError::Option {
         option: "proxy",
-        expected: "the built proxy".into(),
+        expected: "the file of the built proxy".into(),
         got: program.display().to_string(),
     })
 }
--- a/crates/fleet-simulator/src/soak/world.rs
+++ b/crates/fleet-simulator/src/soak/world.rs
@@ -1,10 +1,10 @@
-//! Starts the stand-ins and the proxies of a run, and lets them act until its end.
+//! Executes a run: starts the stand-ins and the proxies, and waits until all of them have ended.
 
 use super::backends::Backend;
 use super::clients::{Client, RESPONSE_GRACE_SECS, SOCKET_SLACK_SECS};
 use super::discovery::Discovery;
 use super::plan::{Plan, Span, PROXIES, RUN_SECS};
-use super::proxies::{check_program, max_descriptors, Fronts, Proxy};
+use super::proxies::{check_program, max_descriptors, FrontLoadBalancer, Proxy};
 use super::records::{Recorder, Records, RunClock};
 use crate::failure::Failure;
 use std::io::ErrorKind;
@@ -14,50 +14,61 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// The ports that proxies listen on.
+/// The lowest port that a proxy listens on.
 const FIRST_PORT: u16 = 10_000;
+/// The number of ports, from [`FIRST_PORT`] on, that proxies may listen on.
 const PORT_COUNT: u32 = 20_000;
-/// Keeps two soaks that run at once apart.
+/// The first port depends on the process id times this number, so that two soak tests that run at
+/// the same time start from different ports.
 const PORTS_PER_PROCESS: u32 = 101;
-/// Counts the ports that were tried.
-static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
-/// Proxies are watched for so long after the last client's time, s.
-const TAIL_SECS: f64 = 0.3;
+/// The number of ports that this process has tried so far.
+static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
+/// How long proxies are monitored after the latest time at which a client may get its response, s.
+const MONITOR_AFTER_CLIENTS_SECS: f64 = 0.3;
 
-/// Plays a run.
-pub async fn play(program: &Path, plan: &Plan) -> Result<Records, Failure> {
+/// Executes a run with the proxy's executable file `program`, and returns its records.
+pub async fn run(program: &Path, plan: &Plan) -> Result<Records, Failure> {
     check_program(program)?;
     let clock = RunClock::start();
     let recorder = Recorder::default();
-    let fronts = Fronts::new(free_addresses()?);
-    let proxies = start_proxies(program, plan, &fronts, clock, &recorder).await?;
-    let clients = start_clients(plan, &fronts, clock, &recorder);
-    if let Some(span) = plan.crowd {
+    let load_balancer = FrontLoadBalancer::new(free_addresses()?);
+    let proxies = start_proxies(program, plan, &load_balancer, clock, &recorder).await?;
+    let clients = start_clients(plan, &load_balancer, clock, &recorder);
+    if let Some(span) = plan.descriptor_exhaustion {
         for proxy in 0..PROXIES {
             let count = max_descriptors(plan);
-            tokio::spawn(crowd(fronts.address(proxy), count, span, clock));
+            tokio::spawn(hold_idle_connections(
+                load_balancer.address(proxy),
+                count,
+                span,
+                clock,
+            ));
         }
     }
     for client in clients {
-        client.await.map_err(Failure::in_step("a client"))?;
+        client.await.map_err(Failure::in_step("running a client"))?;
     }
     for proxy in proxies {
-        proxy.await.map_err(Failure::in_step("a proxy"))??;
+        proxy.await.map_err(Failure::in_step("running a proxy"))??;
     }
     Ok(recorder.take())
 }
 
-/// Starts the proxies, and before them the backends and discovery.
+/// Starts the backends, then discovery, then the proxies, which need the addresses of both.
 async fn start_proxies(
     program: &Path,
     plan: &Plan,
-    fronts: &Fronts,
+    load_balancer: &FrontLoadBalancer,
     clock: RunClock,
     recorder: &Recorder,
 ) -> Result<Vec<JoinHandle<Result<(), Failure>>>, Failure> {
     let backends = Backend::start_all(plan, clock, recorder).await?;
     let (discovery, addresses) = Discovery::start(plan, backends, clock, recorder).await?;
-    let end = RUN_SECS + plan.deadline_secs + RESPONSE_GRACE_SECS + SOCKET_SLACK_SECS + TAIL_SECS;
+    let end = RUN_SECS
+        + plan.deadline_secs
+        + RESPONSE_GRACE_SECS
+        + SOCKET_SLACK_SECS
+        + MONITOR_AFTER_CLIENTS_SECS;
     let start = |(number, discovery_addresses)| {
         let proxy = Proxy {
             number,
@@ -65,7 +76,7 @@
             plan: plan.clone(),
             discovery_addresses,
             discovery: discovery.clone(),
-            fronts: fronts.clone(),
+            load_balancer: load_balancer.clone(),
             clock,
             recorder: recorder.clone(),
         };
@@ -76,7 +87,7 @@
 
 fn start_clients(
     plan: &Plan,
-    fronts: &Fronts,
+    load_balancer: &FrontLoadBalancer,
     clock: RunClock,
     recorder: &Recorder,
 ) -> Vec<JoinHandle<()>> {
@@ -84,7 +95,7 @@
         let client = Client {
             number,
             plan: plan.clone(),
-            fronts: fronts.clone(),
+            load_balancer: load_balancer.clone(),
             clock,
             recorder: recorder.clone(),
         };
@@ -93,8 +104,9 @@
     (0..plan.clients).map(start).collect()
 }
 
-/// Idle connections for a while, as many as the proxy may have descriptors.
-async fn crowd(address: SocketAddr, count: usize, span: Span, clock: RunClock) {
+/// Opens as many idle connections to a proxy as it may have file descriptors, and keeps them open
+/// for the span.
+async fn hold_idle_connections(address: SocketAddr, count: usize, span: Span, clock: RunClock) {
     clock.sleep_until(span.from).await;
     let mut connections = Vec::new();
     for _ in 0..count {
@@ -103,14 +115,14 @@
     clock.sleep_until(span.to).await;
 }
 
-/// Free addresses, all of them different. The ports are below those that the system gives to
-/// connections: one of these could take the port before the proxy listens on it, or between two of
-/// its processes.
+/// Returns free addresses, all of them different. Their ports are below the ephemeral range of the
+/// operating system. An ephemeral port could be taken by an outgoing connection before the proxy
+/// listens on it, or while the proxy is restarted.
 fn free_addresses() -> Result<[SocketAddr; PROXIES], Failure> {
     let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); PROXIES];
     let mut count = 0;
     while count < PROXIES {
-        let number = NEXT_PORT.fetch_add(1, Relaxed) + std::process::id() * PORTS_PER_PROCESS;
+        let number = PORTS_TRIED.fetch_add(1, Relaxed) + std::process::id() * PORTS_PER_PROCESS;
         let port = FIRST_PORT + (number % PORT_COUNT) as u16;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         match TcpListener::bind(address) {
@@ -119,7 +131,7 @@
                 count += 1;
             }
             Err(error) if error.kind() == ErrorKind::AddrInUse => {}
-            Err(error) => return Err(Failure::in_step("a free port")(error)),
+            Err(error) => return Err(Failure::in_step("searching for a free port")(error)),
         }
     }
     Ok(addresses)
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -2,7 +2,7 @@
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
-    Cell, CpuFigures, DiscoveryFigures, LatencyFigures, MemoryFigures, RequestFigures, StallFigures,
+    AddedLatency, Cell, CpuUsage, DiscoveryTraffic, MemoryUsage, RequestStatistics, StallsByEvent,
 };
 use brookstack_fleet_simulator::real::load::NotServed;
 use brookstack_fleet_simulator::real::stall::Stall;
@@ -23,7 +23,7 @@
         ready_secs: 0.1,
         memory: passing_memory(),
         cpu: passing_cpu(),
-        discovery: DiscoveryFigures {
+        discovery: DiscoveryTraffic {
             list_bytes: 26_080,
             idle_bytes_per_s: 30.0,
             change_bytes: 250.0,
@@ -31,7 +31,7 @@
         },
         requests: passing_requests(),
         latency: passing_latency(),
-        stalls: StallFigures {
+        stalls: StallsByEvent {
             without_event: stall,
             change: stall,
             snapshot: stall,
@@ -40,8 +40,8 @@
     }
 }
 
-fn passing_memory() -> MemoryFigures {
-    MemoryFigures {
+fn passing_memory() -> MemoryUsage {
+    MemoryUsage {
         rss_start_mb: 4.0,
         hwm_start_mb: 4.0,
         rss_load_mb: 8.0,
@@ -50,8 +50,8 @@
     }
 }
 
-fn passing_cpu() -> CpuFigures {
-    CpuFigures {
+fn passing_cpu() -> CpuUsage {
+    CpuUsage {
         cpu_idle_percent: 0.1,
         idle_secs: 20.0,
         cpu_load_percent: 2.0,
@@ -60,8 +60,8 @@
     }
 }
 
-fn passing_requests() -> RequestFigures {
-    RequestFigures {
+fn passing_requests() -> RequestStatistics {
+    RequestStatistics {
         forwarded: 8_400,
         not_served: NotServed {
             rejected: 3,
@@ -72,8 +72,8 @@
     }
 }
 
-fn passing_latency() -> LatencyFigures {
-    LatencyFigures {
+fn passing_latency() -> AddedLatency {
+    AddedLatency {
         added_p50_ms: 1.0,
         added_p99_ms: 6.0,
         added_max_ms: 9.0,
