--- a/crates/fleet-simulator/src/simulated/backend.rs
+++ b/crates/fleet-simulator/src/simulated/backend.rs
@@ -1,34 +1,35 @@
-//! One backend on the simulated clock: its state, its capacity, and which attempts it rejects.
+//! One simulated backend: its state, its capacity, and the rule by which it rejects attempts.
 
 use crate::world::{self, SLOW_START_FLOOR, SLOW_START_MICROS};
 use brookstack_balancer::{BackendState, Outcome, Time};
 use std::collections::VecDeque;
 
-/// A backend that works on this many attempts rejects further ones.
+/// The largest number of attempts that a backend works on. It rejects further ones.
 const MAX_CONCURRENT_ATTEMPTS: u32 = 64;
-/// The number of attempts that a backend serves at full speed.
+/// The number of processors of a backend, and so of attempts that it serves at full speed.
 pub const CORES: f64 = 2.0;
 
-/// The true state of a backend. Proxies may know an older one.
+/// The actual state of a backend. The proxies may still have an older one.
 pub struct Backend {
     /// Whether it is ready, draining or removed.
     pub state: BackendState,
-    /// When it last started; `None` means long ago.
+    /// When it last started; `None` if that is so long ago that the backend is warm.
     pub started_at: Option<Time>,
-    /// Its machine type, an index into [`world::MACHINE_TYPES`].
+    /// Its machine type, as an index into [`world::MACHINE_TYPES`].
     pub machine_type: usize,
-    /// The number of its process. An attempt that was sent to an earlier process ends as a reset.
+    /// The number of its current process. An attempt that was sent to an earlier process ends with
+    /// a reset.
     pub(super) process: u32,
-    /// Attempts that it works on.
+    /// The number of attempts that it works on.
     pub(super) in_service: u32,
-    /// Attempts that reached it in the measurement window.
+    /// The number of attempts that reached it in the measurement window.
     pub load: u32,
-    /// While it is warming up: the times of its attempts in the last overload window.
+    /// While it is warming up, the arrival times of its attempts in the last overload window.
     pub(super) recent_attempts: VecDeque<Time>,
 }
 
 impl Backend {
-    /// A backend that started long ago and is ready.
+    /// A ready backend that started so long ago that it is warm.
     pub(super) fn new(backend: usize) -> Backend {
         Backend {
             state: BackendState::Ready,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The fraction of its full capacity that it has at present. It grows linearly from
+    /// Its current capacity as a fraction of its full capacity. The fraction grows linearly from
     /// [`SLOW_START_FLOOR`] to 1 during the warm-up.
     pub(super) fn warmup_fraction(&self, now: Time) -> f64 {
         let progress = self.started_at.map_or(1.0, |started_at| {
@@ -50,7 +51,7 @@
         SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * progress.min(1.0)
     }
 
-    /// How an attempt that arrives now is rejected; `None` where it is accepted.
+    /// The outcome of an attempt that is turned away on arrival; `None` if the backend accepts it.
     pub(super) fn rejection(&self) -> Option<Outcome> {
         match self.state {
             BackendState::Removed => Some(Outcome::ConnectFailed),
--- a/crates/fleet-simulator/src/simulated/backends.rs
+++ b/crates/fleet-simulator/src/simulated/backends.rs
@@ -1,4 +1,4 @@
-//! All backends on the simulated clock: how they serve attempts, and how those attempts end.
+//! The simulated backends: how they serve attempts, and the outcomes of those attempts.
 
 use super::backend::{Backend, CORES};
 use super::cold_start::{ColdStartFigures, ColdStartMonitor};
@@ -12,51 +12,52 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Time until a proxy learns that its attempt was rejected or could not connect.
+/// The time until a proxy learns that its attempt was rejected or could not connect.
 const REJECTION_DELAY: Micros = Micros(1_000);
 
-/// How many attempts ended in which way, as the backends saw it.
+/// The number of attempts by outcome, as counted by the backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OutcomeCounts {
-    /// Served.
+    /// Attempts that were served.
     #[serde(rename = "ok")]
     pub success: u64,
-    /// Rejected by a backend that drains or is full.
+    /// Attempts that were rejected by a backend that was draining or full.
     #[serde(rename = "full")]
     pub rejected: u64,
-    /// No backend was there to connect to.
+    /// Attempts that could not connect, because their backend was removed.
     pub connect_failed: u64,
-    /// The backend's process ended before the attempt did.
+    /// Attempts whose backend process ended before they were served.
     pub reset: u64,
-    /// Cancelled by the proxy, which may have been after a timeout.
+    /// Attempts that the proxy cancelled, including those that timed out.
     #[serde(rename = "withdrawn")]
     pub cancelled: u64,
 }
 
-/// An attempt that a backend works on.
+/// An attempt that a backend works on, and the process of the backend that it was sent to.
 struct InFlightAttempt {
     backend: u32,
     process: u32,
 }
 
-/// All backends and the attempts that they work on.
+/// The backends of a fleet and the attempts that they work on.
 pub struct Backends {
-    /// The backends by number.
+    /// The backends, indexed by their number.
     pub all: Vec<Backend>,
-    /// An injected fault: backends are this many times slower than their machine type says. 1 is no
-    /// fault.
+    /// An injected fault: the factor by which backends are slower than their machine type. 1 means
+    /// no fault.
     slowdown: f64,
     in_flight: HashMap<AttemptKey, InFlightAttempt>,
-    /// The completions to come. Those of cancelled attempts stay in and are skipped later.
+    /// Future completions. The entries of cancelled attempts stay in the heap and are skipped when
+    /// they are due.
     completions: BinaryHeap<Reverse<(Time, AttemptKey)>>,
     random: Pcg64Mcg,
-    /// How attempts ended.
+    /// The number of attempts by outcome.
     pub outcomes: OutcomeCounts,
     cold_starts: ColdStartMonitor,
 }
 
 impl Backends {
-    /// This many backends, all of which started long ago and are ready.
+    /// Creates `count` ready backends that started so long ago that they are warm.
     pub fn new(count: usize, slowdown: f64, fragility: f64, seed: u64) -> Backends {
         Backends {
             all: (0..count).map(Backend::new).collect(),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Sets the state of a backend. A new start or a removal ends its present process.
+    /// Sets the state of a backend. A new start or a removal ends its current process.
     pub fn set(&mut self, backend: u32, state: BackendState, started_at: Option<Time>) {
         let backend = &mut self.all[backend as usize];
         if backend.started_at != started_at || state == BackendState::Removed {
@@ -81,7 +82,8 @@
         backend.started_at = started_at;
     }
 
-    /// An attempt reaches a backend. Returns its result where that is known at once.
+    /// Handles the arrival of an attempt at a backend. Returns the result if the backend turns the
+    /// attempt away.
     pub fn begin(
         &mut self,
         now: Time,
@@ -114,21 +116,21 @@
         None
     }
 
-    /// The time that a backend takes for an attempt that has just arrived. The work of an attempt
-    /// is random, with a mean of 1.
+    /// The service time of an attempt that has just arrived. The work of an attempt is random, with
+    /// a mean of 1.
     fn service_time(&mut self, now: Time, backend_number: u32) -> Micros {
         let backend = &self.all[backend_number as usize];
         // Half of the mean work is fixed, the other half is exponentially distributed.
         let random_part: f64 = Exp1.sample(&mut self.random);
         let work = 0.5 + 0.5 * random_part;
-        // The attempts that are in service at the moment of arrival share the processors.
+        // The attempts that are in service at the time of arrival share the processors.
         let contention = (f64::from(backend.in_service) / CORES).max(1.0);
         let mean_secs = MACHINE_TYPES[backend.machine_type].service_secs * self.slowdown;
         let secs = mean_secs * work * contention / backend.warmup_fraction(now);
         Micros::from_secs(secs).max(Micros(1))
     }
 
-    /// An attempt is cancelled; its backend stops working on it.
+    /// Cancels an attempt: its backend stops working on it.
     pub fn cancel(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.in_flight.remove(&key) {
             self.outcomes.cancelled += 1;
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Takes the results of the attempts that have completed by now, in the order of time.
+    /// Removes the attempts that have completed by now. Returns their results in order of time.
     pub fn completed(&mut self, now: Time) -> Vec<AttemptResult> {
         let mut results = Vec::new();
         while let Some(Reverse((at, key))) = self.next_completion(now) {
@@ -161,7 +163,8 @@
         next.filter(|Reverse((at, _))| *at <= now)
     }
 
-    /// Ends the work on an attempt. Returns whether the process that it was sent to still runs.
+    /// Ends the work on an attempt. Returns whether the process that it was sent to is still
+    /// running.
     fn release(&mut self, attempt: &InFlightAttempt) -> bool {
         let backend = &mut self.all[attempt.backend as usize];
         let same_process = backend.process == attempt.process;
@@ -181,7 +184,7 @@
             .collect()
     }
 
-    /// The load that backends had while they were warming up.
+    /// Statistics of the load on backends that were warming up.
     pub fn cold_starts(&self) -> ColdStartFigures {
         self.cold_starts.figures()
     }
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -1,17 +1,17 @@
-//! The checks that the figures of every fleet have to pass.
+//! The checks that the results of every fleet have to pass.
 
 use super::figures::{Check, Figures};
 
-/// The least fraction of the requests that has to be served.
+/// The smallest fraction of the requests that has to be served.
 const MIN_SERVED_FRACTION: f64 = 0.98;
-/// The most by which the loads of one machine type may spread beyond chance, as a fraction of their
-/// mean.
+/// The largest excess spread of the loads of a machine type: their standard deviation without the
+/// part that random choices cause, as a fraction of their mean.
 const MAX_EXCESS_SPREAD: f64 = 0.2;
-/// The check of the spread leaves out machine types with a lower mean load, in attempts per
+/// The check of the excess spread ignores machine types with a lower mean load, in attempts per
 /// backend.
 const MIN_MEAN_LOAD: f64 = 1.0;
 
-/// The checks of these figures.
+/// Runs all checks on the results of a run.
 pub fn checks(figures: &Figures) -> Vec<Check> {
     vec![
         Check::at_most(
@@ -52,7 +52,8 @@
     ]
 }
 
-/// By how many the arrived requests differ from those that ended or are still open.
+/// The difference between the number of requests that arrived and the number of those that ended or
+/// are still open.
 fn miscounted_requests(figures: &Figures) -> u64 {
     let counts = &figures.requests;
     let ended =
@@ -60,7 +61,7 @@
     counts.arrived.abs_diff(ended + figures.open_at_end)
 }
 
-/// The largest spread of loads beyond chance that a machine type has.
+/// The largest excess spread of all machine types with at least [`MIN_MEAN_LOAD`].
 fn largest_excess_spread(figures: &Figures) -> f64 {
     let machine_types = figures.load.machine_types.iter();
     machine_types
--- a/crates/fleet-simulator/src/simulated/cold_start.rs
+++ b/crates/fleet-simulator/src/simulated/cold_start.rs
@@ -1,25 +1,27 @@
-//! Counts the attempts on backends that are warming up, which bear less load than warm ones.
+//! Counts the attempts on backends that are warming up. Such backends tolerate less load than warm
+//! ones.
 
 use super::backend::{Backend, CORES};
 use crate::world::{MACHINE_TYPES, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MICROS};
 use brookstack_balancer::{BackendState, Micros, Time};
 use serde::Serialize;
 
-/// The heaviest load of backends that were warming up.
+/// Statistics of the load on backends that were warming up.
 ///
 /// Attempts are counted over a sliding overload window. The budget N is the number of attempts in
-/// the window above which, by the settings, such a backend is overloaded. Arrivals are random, so
-/// proxies that keep to the budget on average exceed it at times. The bound is therefore
-/// `N + 2 * sqrt(N) + 2`: two standard deviations of a Poisson number above the budget, and 2 more
-/// for small budgets.
+/// the window above which, according to the settings, such a backend is overloaded. Arrivals are
+/// random, so proxies that keep to the budget on average exceed it at times. The bound is therefore
+/// `N + 2 * sqrt(N) + 2`: two standard deviations of a Poisson variable above the budget, and 2
+/// more for small budgets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ColdStartFigures {
-    /// Backends that got attempts while they were warming up.
+    /// The number of backends that received attempts while they were warming up.
     pub backends: usize,
-    /// Attempts that arrived when the window held more than the bound.
+    /// The number of attempts that exceeded the bound of their window.
     #[serde(rename = "over")]
     pub attempts_over_bound: u64,
-    /// Attempts in the worst window: the one with the largest number of attempts over its bound.
+    /// The number of attempts in the worst window: the one with the highest ratio of attempts to
+    /// bound.
     #[serde(rename = "worst_requests")]
     pub worst_window_attempts: usize,
     /// The budget N of the worst window.
@@ -30,18 +32,18 @@
     pub worst_fraction_of_bound: f64,
 }
 
-/// Observes the attempts on backends that are warming up.
+/// Counts the attempts on backends that are warming up.
 pub struct ColdStartMonitor {
-    /// An injected fault: such backends bear only this fraction of the load that the settings
-    /// allow. 1 is no fault.
+    /// An injected fault: such backends tolerate only this fraction of the load that the settings
+    /// allow. 1 means no fault.
     fragility: f64,
     figures: ColdStartFigures,
-    /// For each backend, whether it got an attempt while it was warming up.
+    /// For each backend, whether it received an attempt while it was warming up.
     seen: Vec<bool>,
 }
 
 impl ColdStartMonitor {
-    /// A monitor of this many backends.
+    /// A monitor for the given number of backends.
     pub fn new(backends: usize, fragility: f64) -> ColdStartMonitor {
         ColdStartMonitor {
             fragility,
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Records an attempt that reaches a backend. Nothing is recorded for a backend that is warm or
-    /// takes no requests.
+    /// Records an attempt that arrives at a backend. Ignores backends that are warm or take no new
+    /// requests.
     pub fn record(&mut self, now: Time, number: u32, backend: &mut Backend) {
         let warmup_fraction = backend.warmup_fraction(now);
         if warmup_fraction >= 1.0 || backend.state != BackendState::Ready {
@@ -77,13 +79,14 @@
         }
     }
 
-    /// The number of attempts within an overload window that a backend of that machine type bears.
+    /// The number of attempts within an overload window that a backend tolerates, given its machine
+    /// type and its current fraction of its full capacity.
     fn budget(&self, machine_type: usize, warmup_fraction: f64) -> f64 {
         let full_speed = self.fragility * CORES / MACHINE_TYPES[machine_type].service_secs;
         OVERLOAD_MULTIPLE * warmup_fraction * full_speed * OVERLOAD_WINDOW_MICROS as f64 / 1e6
     }
 
-    /// What was counted so far.
+    /// The statistics so far.
     pub fn figures(&self) -> ColdStartFigures {
         self.figures
     }
--- a/crates/fleet-simulator/src/simulated/context.rs
+++ b/crates/fleet-simulator/src/simulated/context.rs
@@ -1,24 +1,24 @@
-//! What all simulated proxies read and none of them changes.
+//! The read-only context that all simulated proxies share during a tick.
 
 use brookstack_balancer::{BackendId, Micros, Time};
 use std::collections::HashMap;
 
-/// The numbers of backends by their id in the balancer.
+/// Maps the id of a backend in the balancer to its number in the simulation.
 pub type BackendIndex = HashMap<BackendId, u32>;
 
-/// The time over which figures are counted, in two equal halves.
+/// The time span in which loads and latencies are measured, divided into two equal halves.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasurementWindow {
-    /// Its first moment.
+    /// Its start.
     pub start: Time,
-    /// The first moment of its second half.
+    /// The start of its second half.
     pub middle: Time,
-    /// The first moment after it.
+    /// Its end, which is no longer part of it.
     pub end: Time,
 }
 
 impl MeasurementWindow {
-    /// The window between two moments.
+    /// The window from `start` up to, but not including, `end`.
     pub fn new(start: Time, end: Time) -> MeasurementWindow {
         MeasurementWindow {
             start,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Which half of the window a time falls into, 0 or 1; `None` outside the window.
+    /// The half of the window that contains a time, 0 or 1; `None` outside the window.
     pub fn half(&self, at: Time) -> Option<usize> {
         if at < self.start || at >= self.end {
             None
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether a time falls into the window.
+    /// Whether the window contains a time.
     pub fn contains(&self, at: Time) -> bool {
         self.half(at).is_some()
     }
@@ -49,12 +49,12 @@
     }
 }
 
-/// What all proxies read during their tick.
+/// The data that all proxies read during their tick.
 pub struct SharedContext {
-    /// The numbers of backends by their id.
+    /// Maps the id of a backend in the balancer to its number.
     pub backend_index: BackendIndex,
-    /// A proxy closes a connection that has been idle for this long.
+    /// The time after which a proxy closes an idle connection.
     pub connection_idle_timeout: Micros,
-    /// The time over which figures are counted.
+    /// The measurement window.
     pub window: MeasurementWindow,
 }
--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery on the simulated clock: one service that all proxies call and watch. It serves calls
-//! one after another, and may have an outage.
+//! The simulated discovery service, which all proxies call and watch. It serves calls one after the
+//! other, and may have an outage.
 
 use super::messages::Delivery;
 use super::propagation::{ChangeLog, PropagationFigures};
@@ -9,42 +9,42 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A call fails if discovery has not begun to serve it within this time.
+/// A call fails if discovery has not started to serve it within this time.
 const QUEUE_TIMEOUT: Micros = Micros(2_000_000);
-/// The time that a response takes from discovery to a proxy.
+/// The network delay of a response from discovery to a proxy.
 const NETWORK_DELAY: Micros = Micros(1_000);
 
-/// What is counted of discovery, and of how long changes took to reach proxies.
+/// Statistics of discovery and of the propagation of changes to the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DiscoveryFigures {
-    /// Changes made.
+    /// The number of changes.
     pub changes: usize,
-    /// Calls that proxies made.
+    /// The number of calls by proxies.
     pub calls: u64,
-    /// Calls refused because discovery was down.
+    /// Calls that were refused because discovery was down.
     #[serde(rename = "refused")]
     pub calls_refused: u64,
-    /// Calls that failed because they were queued for too long.
+    /// Calls that failed because they waited in the queue for too long.
     #[serde(rename = "queued_too_long")]
     pub calls_timed_out: u64,
-    /// Watches that ended because discovery went down.
+    /// Watches that broke because discovery went down.
     #[serde(rename = "broken")]
     pub watches_broken: u64,
-    /// How long changes took to reach proxies.
+    /// How long changes took to reach the proxies.
     #[serde(flatten)]
     pub propagation: PropagationFigures,
 }
 
-/// What one proxy has asked of discovery.
+/// The watch and the queued call of one proxy.
 #[derive(Clone, Copy, Default)]
 struct Watcher {
-    /// It has a watch in place.
+    /// Whether the proxy has a watch.
     is_watching: bool,
-    /// It has a call in the queue.
+    /// Whether the proxy has a call in the queue.
     is_queued: bool,
 }
 
-/// A call that waits for discovery.
+/// A call that waits until discovery serves it.
 #[derive(Clone, Copy)]
 struct QueuedCall {
     proxy: u32,
@@ -63,20 +63,22 @@
 pub struct Discovery {
     call_duration: Micros,
     outage: Option<Outage>,
-    /// An injected fault: discovery sends nothing to watches, so proxies are notified too late.
+    /// An injected fault: discovery does not send changes to watches, so the proxies are notified
+    /// too late.
     unresponsive: bool,
     is_down: bool,
     queue: VecDeque<QueuedCall>,
-    /// When it can begin with the next call.
+    /// When discovery is free to serve the next call.
     free_at: Time,
     watchers: Vec<Watcher>,
     counts: CallCounts,
-    /// The changes, and what each proxy knows of them.
+    /// The changes, and which of them each proxy knows.
     pub changes: ChangeLog,
 }
 
 impl Discovery {
-    /// A service that takes that time for a call. All proxies hold its list and watch already.
+    /// A service that serves a call in `call_duration`. All proxies already have its endpoint list
+    /// and a watch.
     pub fn new(
         proxies: u32,
         call_duration: Micros,
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Runs a step: goes down or comes back, takes in the changes that were made in this step,
-    /// sends them to watches, and serves calls.
+    /// Runs one step: starts or ends the outage if due, adds the changes of this step, sends them
+    /// to the watches, and serves calls. Returns the messages to the proxies.
     pub fn step(&mut self, now: Time, changes: &[BackendChange]) -> Vec<Delivery> {
         let mut deliveries = Vec::new();
         let is_down = self.outage.is_some_and(|outage| outage.contains(now));
@@ -123,7 +125,7 @@
         deliveries
     }
 
-    /// All watches break and all queued calls fail.
+    /// Starts the outage: all watches break and all queued calls fail.
     fn go_down(&mut self, now: Time, deliveries: &mut Vec<Delivery>) {
         for proxy in 0..self.watchers.len() as u32 {
             let watcher = &mut self.watchers[proxy as usize];
@@ -141,7 +143,7 @@
         self.free_at = self.outage.map_or(now, |outage| outage.end);
     }
 
-    /// Sends the changes after the first `known_changes` to all that watch.
+    /// Sends all but the first `known_changes` changes to the proxies that have a watch.
     fn notify_watchers(&mut self, now: Time, known_changes: usize, deliveries: &mut Vec<Delivery>) {
         let endpoints = Arc::new(self.changes.endpoints_since(known_changes));
         for proxy in 0..self.watchers.len() as u32 {
@@ -152,7 +154,8 @@
         }
     }
 
-    /// Serves the queued calls that are done by now, and fails those that were queued for too long.
+    /// Responds to the queued calls that are served by now, and fails those that waited for too
+    /// long.
     fn serve_calls(&mut self, now: Time, deliveries: &mut Vec<Delivery>) {
         while let Some(call) = self.queue.front().copied() {
             let proxy = call.proxy;
@@ -165,7 +168,7 @@
             } else if done_at <= now {
                 self.free_at = done_at;
                 self.watchers[proxy as usize].is_watching = true;
-                // The response holds all changes until now. The watch reports later ones.
+                // The response contains all changes until now. The watch delivers later ones.
                 let known_changes = self.changes.known_changes(proxy);
                 let endpoints = Arc::new(self.changes.endpoints_since(known_changes));
                 deliveries.push(delta(proxy, now, endpoints));
@@ -178,7 +181,8 @@
         }
     }
 
-    /// A proxy calls to watch. The call is ignored while the proxy watches or has a call queued.
+    /// Handles the call of a proxy that wants a watch. The call is ignored if the proxy already has
+    /// a watch or a queued call.
     pub fn watch(&mut self, now: Time, proxy: u32) -> Option<Delivery> {
         let watcher = &mut self.watchers[proxy as usize];
         if watcher.is_watching || watcher.is_queued {
@@ -194,14 +198,15 @@
         None
     }
 
-    /// A proxy has a new process, whose list is that after the first `known_changes` changes.
+    /// Records the restart of a proxy. The endpoint list of the new process contains the first
+    /// `known_changes` changes.
     pub fn proxy_restarted(&mut self, now: Time, proxy: u32, known_changes: usize) {
         self.queue.retain(|call| call.proxy != proxy);
         self.watchers[proxy as usize] = Watcher::default();
         self.changes.record_restart(proxy, now, known_changes);
     }
 
-    /// What was counted until the end of the run.
+    /// The statistics at the end of the run.
     pub fn figures(&self, end: Time) -> DiscoveryFigures {
         DiscoveryFigures {
             changes: self.changes.count(),
@@ -214,13 +219,13 @@
     }
 }
 
-/// The response with changed endpoints that discovery sends at that time.
+/// A response with changed endpoints that discovery sends at `sent_at`.
 fn delta(proxy: u32, sent_at: Time, endpoints: Arc<Vec<Endpoint>>) -> Delivery {
     let arrives_at = sent_at + NETWORK_DELAY;
     Delivery::endpoints(proxy, arrives_at, EndpointUpdate::Delta, endpoints)
 }
 
-/// The failure of a call or of a watch at that time.
+/// The failure of a call or of a watch at `failed_at`.
 fn watch_failed(proxy: u32, failed_at: Time) -> Delivery {
     let arrives_at = failed_at + NETWORK_DELAY;
     let endpoints = Arc::default();
--- a/crates/fleet-simulator/src/simulated/figures.rs
+++ b/crates/fleet-simulator/src/simulated/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a fleet's run.
+//! The results of the run of a fleet.
 
 use super::backends::OutcomeCounts;
 use super::cold_start::ColdStartFigures;
@@ -8,35 +8,36 @@
 use super::setup::Setup;
 use serde::Serialize;
 
-/// Attempts on backends that take no new requests, by proxies that should have known it.
+/// The number of attempts on backends that take no new requests, sent by proxies that should have
+/// known the backend's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LateAttempts {
-    /// Sent more than 0.5 s after the proxy was notified.
+    /// Attempts sent more than 0.5 s after the proxy was notified of the state.
     #[serde(rename = "after_told")]
     pub after_notification: u64,
-    /// Sent more than 6.5 s after the proxy could have been notified: 6 s until it has to be
-    /// notified, and 0.5 s to react.
+    /// Attempts sent more than 6.5 s after the proxy could have been notified: a proxy has to be
+    /// notified within 6 s, and has 0.5 s to react.
     #[serde(rename = "after_clock")]
     pub after_deadline: u64,
 }
 
-/// The result of one check: a figure against its bound.
+/// The result of one check, which compares a measured value with its bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Check {
-    /// What is checked.
+    /// The name of the check.
     pub name: &'static str,
-    /// Whether the figure is within its bound.
+    /// Whether the measured value is within its bound.
     #[serde(rename = "holds")]
     pub passed: bool,
-    /// The figure.
+    /// The measured value.
     #[serde(rename = "got")]
     pub measured: f64,
-    /// Its bound.
+    /// The bound.
     pub bound: f64,
 }
 
 impl Check {
-    /// A figure that may not exceed its bound.
+    /// A check that the measured value does not exceed its bound.
     pub(super) fn at_most(name: &'static str, measured: f64, bound: f64) -> Check {
         Check {
             name,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A figure that may not fall below its bound.
+    /// A check that the measured value is not below its bound.
     pub(super) fn at_least(name: &'static str, measured: f64, bound: f64) -> Check {
         Check {
             name,
@@ -57,46 +58,46 @@
     }
 }
 
-/// All figures of a run. The same setup gives the same figures on any number of threads.
+/// The results of a run. The same setup gives the same results on any number of threads.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// What was run.
+    /// The setup of the run.
     pub setup: Setup,
-    /// What became of requests.
+    /// The number of requests by outcome.
     pub requests: RequestCounts,
-    /// Requests that were still open at the end.
+    /// The number of requests that were still open at the end.
     pub open_at_end: u64,
-    /// From arrival to answer, of served requests, ms: median.
+    /// The median latency of served requests, from arrival to response, ms.
     pub latency_p50_ms: f64,
-    /// The same, 99th percentile, ms.
+    /// The 99th percentile of the latency, ms.
     pub latency_p99_ms: f64,
-    /// From arrival to the first attempt, ms: median. The wait for the next tick, of up to 5 ms, is
-    /// part of it.
+    /// The median queue delay, from the arrival of a request to its first attempt, ms. It includes
+    /// the wait for the next tick, which is up to 5 ms.
     #[serde(rename = "held_p50_ms")]
     pub queue_delay_p50_ms: f64,
-    /// The same, 99th percentile, ms.
+    /// The 99th percentile of the queue delay, ms.
     #[serde(rename = "held_p99_ms")]
     pub queue_delay_p99_ms: f64,
-    /// How attempts ended.
+    /// The number of attempts by outcome.
     pub outcomes: OutcomeCounts,
-    /// The load of backends.
+    /// How the load was spread over backends, proxies and connections.
     pub load: Load,
-    /// The load of backends that were warming up.
+    /// The load on backends that were warming up.
     #[serde(rename = "cold")]
     pub cold_starts: ColdStartFigures,
-    /// Discovery, and how long changes took to reach proxies.
+    /// Calls to discovery, and how long changes took to reach the proxies.
     #[serde(rename = "told")]
     pub discovery: DiscoveryFigures,
-    /// Attempts on backends that take no new requests, by proxies that should have known it.
+    /// Attempts on backends that take no new requests, sent by proxies that should have known it.
     #[serde(rename = "late")]
     pub late_attempts: LateAttempts,
-    /// The checks of these figures.
+    /// The checks of these results.
     pub checks: Vec<Check>,
 }
 
 impl Figures {
-    /// The fraction of requests that were served. Requests that are still open, or that were
-    /// interrupted by a restart of their proxy, are left out.
+    /// The fraction of the requests that were served. Requests that are still open, or that were
+    /// interrupted by a restart of their proxy, are not counted.
     pub fn served_fraction(&self) -> f64 {
         let left_out = self.requests.interrupted + self.open_at_end;
         let ended = self.requests.arrived.saturating_sub(left_out);
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of simulated proxies with its backends and its discovery, run step by step.
+//! A fleet of simulated proxies with its backends and its discovery, and the loop that runs it step
+//! by step.
 
 mod construction;
 mod first_list;
@@ -23,12 +24,12 @@
 use recorder::Recorder;
 use std::sync::Arc;
 
-/// The length of a step.
+/// The duration of a step.
 const STEP: Micros = Micros(5_000);
-/// The number of the second process of each proxy, after a restart.
+/// The number of the process of a proxy after a restart. The first process has number 0.
 const RESTARTED_PROCESS: u32 = 1;
 
-/// A fleet and the world around it.
+/// The proxies of a fleet and their environment: backends, discovery, and the timeline of changes.
 pub struct Fleet {
     setup: Setup,
     proxies: Vec<Proxy>,
@@ -41,7 +42,7 @@
 }
 
 impl Fleet {
-    /// A fleet at its start: all proxies hold the first endpoint list.
+    /// A fleet at the start of a run, in which all proxies have the first endpoint list.
     pub fn new(setup: &Setup) -> Result<Fleet, InputError> {
         let window = construction::measurement_window(setup);
         let timeline = construction::timeline(setup, window);
@@ -87,14 +88,15 @@
         Ok(())
     }
 
-    /// Runs one tick of each proxy, on all threads of the pool.
+    /// Runs one tick of each proxy, in parallel on the threads of the pool.
     fn tick_proxies(&mut self, now: Time) {
         let shared = &self.shared;
         let proxies = self.proxies.par_iter_mut();
         proxies.for_each(|proxy| proxy.tick(now, shared));
     }
 
-    /// Moves the world around the proxies to the moment of their tick.
+    /// Advances the environment to `now`: applies the changes, delivers the results of attempts and
+    /// the messages of discovery, and restarts the proxies if due.
     fn move_world(&mut self, now: Time, changes: &[BackendChange]) -> Result<(), MeasurementError> {
         for change in changes {
             self.backends
@@ -113,7 +115,7 @@
         Ok(())
     }
 
-    /// All proxies restart at once, with the first list or with the newest one.
+    /// Restarts all proxies at the same time, with the first or with the newest endpoint list.
     fn restart_proxies(&mut self, now: Time) -> Result<(), MeasurementError> {
         let use_first_list = self.timeline.restart_with_first_list;
         let known_changes = if use_first_list {
@@ -134,7 +136,7 @@
         Ok(())
     }
 
-    /// A proxy restarts with that list; backends stop working on its attempts.
+    /// Restarts a proxy with the given endpoint list. Cancels its attempts at the backends.
     fn restart_proxy(
         &mut self,
         now: Time,
@@ -153,7 +155,7 @@
         Ok(())
     }
 
-    /// Takes what the proxies sent in their tick, in the order of their numbers.
+    /// Processes the outputs of the proxies, in the order of the proxies' numbers.
     fn take_outputs(&mut self, now: Time) {
         for number in 0..self.proxies.len() {
             for output in std::mem::take(&mut self.proxies[number].outputs) {
@@ -197,7 +199,7 @@
         self.proxies[delivery.proxy as usize].deliver(delivery.at, delivery.input);
     }
 
-    /// The figures of the run, checked.
+    /// Collects the results of the run and checks them.
     pub fn into_figures(self) -> Figures {
         let latencies = &self.recorder.latencies;
         let queue_delays = &self.recorder.queue_delays;
@@ -220,7 +222,7 @@
         figures
     }
 
-    /// What became of the requests of all proxies.
+    /// The number of requests by outcome, over all proxies.
     fn request_counts(&self) -> RequestCounts {
         let mut sum = RequestCounts::default();
         for proxy in &self.proxies {
@@ -229,7 +231,7 @@
         sum
     }
 
-    /// How the attempts were spread over backends, proxies and connections.
+    /// How the load was spread over backends, proxies and connections.
     fn load(&self) -> Load {
         Load::new(
             &self.backends.all,
@@ -239,7 +241,7 @@
         )
     }
 
-    /// For each backend, whether the scenario left it alone.
+    /// For each backend, whether the scenario did not change it.
     fn unchanged_backends(&self) -> Vec<bool> {
         let mut unchanged = vec![true; self.setup.backends];
         for backend in self.discovery.changes.changed_backends() {
--- a/crates/fleet-simulator/src/simulated/fleet/construction.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/construction.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of a fleet from its setup.
+//! Functions that build the parts of a fleet from its setup.
 
 use crate::deployment::{Deployment, DiscoveryMode};
 use crate::failure::InputError;
@@ -11,9 +11,10 @@
 use crate::simulated::timeline::Timeline;
 use brookstack_balancer::{Micros, Time};
 
-/// The clock at the start. The value has no meaning.
+/// The time at the start of a run. The value is arbitrary.
 pub(super) const START: Time = Time(1_000_000_000_000);
-/// The real proxy closes an idle connection after this fraction of the backends' own idle timeout.
+/// The real proxy closes an idle connection after this fraction of the idle timeout of the
+/// backends.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
 pub(super) fn measurement_window(setup: &Setup) -> MeasurementWindow {
--- a/crates/fleet-simulator/src/simulated/fleet/first_list.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/first_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it is at the start of a run.
+//! The endpoint list at the start of a run.
 
 use crate::failure::InputError;
 use crate::simulated::context::BackendIndex;
@@ -6,13 +6,13 @@
 use brookstack_balancer::{BackendState, Endpoint};
 use std::sync::Arc;
 
-/// One proxy in this many gets the whole list, the first proxy among them.
+/// Every proxy whose number is a multiple of this gets the complete list.
 const WHOLE_LIST_INTERVAL: u32 = 10;
 
-/// The endpoint list at the start, in which all backends are ready.
+/// The endpoint list at the start of a run, in which all backends are ready.
 pub(super) struct FirstList {
     endpoints: Arc<Vec<Endpoint>>,
-    /// This many of a hundred backends are hidden from nine proxies in ten.
+    /// The percentage of the backends that are hidden from nine proxies in ten.
     hidden_percent: usize,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The list as a proxy gets it.
+    /// The list that a proxy gets, without the backends that are hidden from it.
     pub(super) fn of_proxy(&self, proxy: u32) -> Arc<Vec<Endpoint>> {
         if self.hidden_percent == 0 || proxy % WHOLE_LIST_INTERVAL == 0 {
             return self.endpoints.clone();
@@ -40,7 +40,8 @@
         position_in_zone % 100 >= self.hidden_percent
     }
 
-    /// The numbers of backends by their ids. Ids are made of names, so two of them could be equal.
+    /// Maps the ids of the backends to their numbers. Fails if two ids are equal, which is possible
+    /// because an id is a hash of the backend's name.
     pub(super) fn backend_index(&self) -> Result<BackendIndex, InputError> {
         let backends = self.endpoints.len();
         let index: BackendIndex = self
--- a/crates/fleet-simulator/src/simulated/fleet/recorder.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/recorder.rs
@@ -1,4 +1,4 @@
-//! The record of requests and attempts that a run's figures are made of.
+//! Records the times of requests and the late attempts, from which the results of a run are made.
 
 use crate::histogram::new_histogram;
 use crate::simulated::context::MeasurementWindow;
@@ -7,12 +7,13 @@
 use brookstack_balancer::{Micros, Time};
 use hdrhistogram::Histogram;
 
-/// Records times of requests in the measurement window, and late attempts of the whole run.
+/// Records the times of requests in the measurement window, and the late attempts of the entire
+/// run.
 pub(super) struct Recorder {
     window: MeasurementWindow,
-    /// From a request's arrival to its first attempt, us.
+    /// The times from the arrival of a request to its first attempt, us.
     pub(super) queue_delays: Histogram<u64>,
-    /// From a request's arrival to its answer, us.
+    /// The times from the arrival of a request to its response, us.
     pub(super) latencies: Histogram<u64>,
     pub(super) late_attempts: LateAttempts,
 }
@@ -48,7 +49,7 @@
     }
 }
 
-/// Records a time, at least 1 us: the histogram does not resolve less.
+/// Records a duration as at least 1 us, the smallest value that the histogram can record.
 fn record(histogram: &mut Histogram<u64>, time: Micros) {
     histogram.saturating_record(time.0.max(1));
 }
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -1,4 +1,4 @@
-//! How the attempts of a fleet were spread over backends, proxies and connections.
+//! Statistics of how the attempts of a fleet were spread over backends, proxies and connections.
 
 use super::backend::Backend;
 use super::proxy::connections::ConnectionCounts;
@@ -6,24 +6,24 @@
 use crate::world::MACHINE_TYPES;
 use serde::Serialize;
 
-/// The least divisor, so that a division by a mean of zero stays finite.
+/// The lower bound of divisors, so that a division by a mean of zero stays finite.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// The smallest, the mean and the largest of some counts.
+/// The minimum, mean and maximum of a set of counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct CountRange {
-    /// The smallest.
+    /// The smallest count.
     #[serde(rename = "least")]
     pub min: u64,
-    /// The mean.
+    /// The mean of the counts.
     pub mean: f64,
-    /// The largest.
+    /// The largest count.
     #[serde(rename = "largest")]
     pub max: u64,
 }
 
 impl CountRange {
-    /// The range of these counts; zeros where there are none.
+    /// The range of the given counts; all zeros if there are none.
     pub fn of(counts: impl Iterator<Item = u64> + Clone) -> CountRange {
         let number = counts.clone().count().max(1) as f64;
         CountRange {
@@ -34,20 +34,20 @@
     }
 }
 
-/// How evenly the backends of one machine type were used. Backends that the scenario changed are
-/// left out.
+/// How evenly the load was spread over the backends of one machine type. Backends that the scenario
+/// changed are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MachineTypeLoad {
-    /// The machine type's name.
+    /// The name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: &'static str,
-    /// The number of its backends.
+    /// The number of its unchanged backends.
     pub backends: usize,
-    /// Attempts per backend, on average.
+    /// The mean load, in attempts per backend.
     pub mean: f64,
-    /// The largest load over the mean.
+    /// The ratio of the largest load to the mean load.
     pub largest_over_mean: f64,
-    /// The same if each attempt went to a random backend of the type.
+    /// The ratio that would result if each attempt went to a random backend of the type.
     #[serde(rename = "by_chance")]
     pub largest_by_chance: f64,
     /// The standard deviation of the loads without the part that random choices cause, as a
@@ -68,30 +68,32 @@
             mean,
             largest_over_mean: largest / mean.max(MIN_DIVISOR),
             largest_by_chance: largest_by_chance(mean, loads.len()),
-            // If backends are chosen at random, loads are Poisson numbers: variance equals mean.
+            // With random choices, loads are Poisson variables, whose variance equals their mean.
             excess_spread: (variance - mean).max(0.0).sqrt() / mean.max(MIN_DIVISOR),
         }
     }
 }
 
-/// Attempts to backends in the measurement window.
+/// Statistics of the attempts in the measurement window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Load {
-    /// The window's length, s.
+    /// The length of the window, s.
     pub window_secs: f64,
-    /// The largest load over the mean, over the backends of all machine types. Fast machine types
-    /// get more attempts than slow ones, so this is above 1 also where the load is even.
+    /// The ratio of the largest load to the mean load, over the backends of all machine types. Fast
+    /// machine types get more attempts than slow ones, so the ratio is above 1 even if the load of
+    /// each machine type is even.
     pub largest_over_mean: f64,
-    /// The load of each machine type.
+    /// The load of each machine type, in the order of [`MACHINE_TYPES`].
     #[serde(rename = "kinds")]
     pub machine_types: Vec<MachineTypeLoad>,
-    /// How many distinct backends a proxy used.
+    /// The number of distinct backends that a proxy used.
     #[serde(rename = "backends_a_proxy")]
     pub backends_per_proxy: CountRange,
-    /// How many attempts a proxy sent.
+    /// The number of attempts that a proxy sent.
     #[serde(rename = "attempts_a_proxy")]
     pub attempts_per_proxy: CountRange,
-    /// How many proxies used a backend. Backends that the scenario changed are left out.
+    /// The number of proxies that used a backend. Backends that the scenario changed are not
+    /// counted.
     #[serde(rename = "proxies_a_backend")]
     pub proxies_per_backend: CountRange,
     /// New connections per attempt, in each half of the window.
@@ -100,8 +102,8 @@
 }
 
 impl Load {
-    /// The load at the end of a run; `unchanged` says for each backend whether the scenario left it
-    /// alone.
+    /// The statistics at the end of a run. `unchanged` tells for each backend whether the scenario
+    /// did not change it.
     pub fn new(
         backends: &[Backend],
         proxies: &[Proxy],
@@ -127,7 +129,7 @@
     }
 }
 
-/// The load of each machine type.
+/// The load of each machine type, in the order of [`MACHINE_TYPES`].
 fn machine_type_loads<'a>(
     backends: impl Iterator<Item = &'a Backend> + Clone,
 ) -> Vec<MachineTypeLoad> {
@@ -140,7 +142,7 @@
     machine_type_loads
 }
 
-/// The values of backends that the scenario left alone.
+/// The values of those backends that the scenario did not change.
 fn only_unchanged<'a, T>(
     values: &'a [T],
     unchanged: &'a [bool],
@@ -152,7 +154,7 @@
         .map(|(value, _)| value)
 }
 
-/// How many proxies used each backend.
+/// The number of proxies that used each backend.
 fn proxies_per_backend(proxies: &[Proxy], backends: usize) -> Vec<u64> {
     let mut users = vec![0u64; backends];
     for proxy in proxies {
@@ -163,7 +165,7 @@
     users
 }
 
-/// New connections per attempt in one half of the window.
+/// New connections per attempt, over all proxies, in one half of the window.
 fn new_connections_per_attempt(proxies: &[Proxy], half: usize) -> f64 {
     let mut sum = ConnectionCounts::default();
     for proxy in proxies {
@@ -172,17 +174,18 @@
     sum.opened as f64 / (sum.attempts as f64).max(1.0)
 }
 
-/// How evenly random choices alone would spread the load: the largest of `count` Poisson numbers
-/// over their mean, as the median of many samples.
+/// The ratio of the largest load to the mean load that random choices alone would give. This is the
+/// median of the maximum of `count` Poisson variables, divided by their mean.
 ///
-/// A sample's largest number is at least k with a probability of `1 - exp(-count * tail)`, where
-/// `tail` is the probability that a single number is at least k. The median is the k at which
+/// The maximum is at least k with a probability of about `1 - exp(-count * tail)`, where `tail` is
+/// the probability that a single variable is at least k. The median is the k at which
 /// `count * tail` reaches ln 2.
 pub fn largest_by_chance(mean: f64, count: usize) -> f64 {
     if mean <= 0.0 || count == 0 {
         return 0.0;
     }
-    // Numbers beyond 12 standard deviations have no weight, also with small means.
+    // Values of more than 12 standard deviations above the mean have a negligible probability. The
+    // constant 24 covers small means.
     let far_out = (mean + 12.0 * mean.sqrt() + 24.0) as usize;
     let log_probabilities = poisson_log_probabilities(mean, far_out);
     let mut tail = 0.0;
@@ -195,7 +198,8 @@
     0.0
 }
 
-/// The natural logarithms of the probabilities of 0 to `largest` in a Poisson distribution.
+/// The natural logarithms of the probabilities of the values 0 to `largest` in a Poisson
+/// distribution.
 fn poisson_log_probabilities(mean: f64, largest: usize) -> Vec<f64> {
     let mut log_probability = -mean;
     let mut log_probabilities = vec![log_probability];
--- a/crates/fleet-simulator/src/simulated/messages.rs
+++ b/crates/fleet-simulator/src/simulated/messages.rs
@@ -1,22 +1,23 @@
-//! The messages between the simulated proxies and the world around them.
+//! The messages between the simulated proxies and their environment: backends, discovery and the
+//! recorder of measurements.
 
 use brookstack_balancer::{
     AttemptNumber, Endpoint, EndpointUpdate, Micros, Outcome, RequestId, Time,
 };
 use std::sync::Arc;
 
-/// Identifies an attempt within the whole fleet.
+/// Identifies an attempt within the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// The number of the proxy that sent it.
     pub proxy: u32,
     /// The request that it belongs to.
     pub request: RequestId,
-    /// Its number within that request.
+    /// The number of the attempt within that request.
     pub attempt: AttemptNumber,
 }
 
-/// What the world sends to a proxy.
+/// A message from the environment to a proxy.
 #[derive(Clone, Debug)]
 pub enum ProxyInput {
     /// An attempt has ended.
@@ -28,7 +29,7 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// Discovery has sent an update of the endpoint list, or the watch has failed.
+    /// Discovery has sent an update of the endpoint list, or a call or watch has failed.
     EndpointsUpdated {
         /// The type of the update.
         update: EndpointUpdate,
@@ -37,42 +38,43 @@
     },
 }
 
-/// What a proxy sends to the world. The world takes the outputs of a proxy in their order.
+/// A message from a proxy to the environment. The outputs of a proxy are processed in order.
 #[derive(Clone, Copy, Debug)]
 pub enum ProxyOutput {
-    /// An attempt is sent to a backend.
+    /// Sends an attempt to a backend.
     SendAttempt {
         /// Identifies the attempt.
         key: AttemptKey,
         /// The number of the backend.
         backend: u32,
-        /// The time from the request's arrival to this attempt, if it is the request's first.
+        /// The time from the arrival of the request to this attempt, if it is the first attempt of
+        /// the request.
         queue_delay: Option<Micros>,
     },
-    /// An attempt is cancelled.
+    /// Cancels an attempt.
     CancelAttempt(AttemptKey),
-    /// The proxy wants to watch discovery for changes.
+    /// Calls discovery to watch for changes of the endpoint list.
     WatchEndpoints,
-    /// A request has been served.
+    /// Reports that a request has been served.
     RequestServed {
-        /// The time from its arrival to its answer.
+        /// The time from the arrival of the request to its response.
         latency: Micros,
     },
 }
 
-/// An input on its way to a proxy.
+/// An input that is in transit to a proxy.
 #[derive(Clone, Debug)]
 pub struct Delivery {
     /// The number of the proxy.
     pub proxy: u32,
-    /// When it reaches the proxy.
+    /// When the input reaches the proxy.
     pub at: Time,
-    /// What reaches it.
+    /// The input.
     pub input: ProxyInput,
 }
 
 impl Delivery {
-    /// An update of the endpoint list that reaches a proxy at that time.
+    /// An update of the endpoint list that reaches a proxy at the time `at`.
     pub fn endpoints(
         proxy: u32,
         at: Time,
@@ -87,7 +89,7 @@
     }
 }
 
-/// The end of an attempt, as its backend determines it.
+/// The result of an attempt at its backend.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
     /// Identifies the attempt.
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -1,5 +1,5 @@
-//! The propagation of changes: which changes discovery has, and when each proxy was notified of
-//! them.
+//! The propagation of backend changes: the changes that were made, and when each proxy was notified
+//! of them.
 
 use super::timeline::{BackendChange, Outage};
 use crate::histogram::{millis, new_histogram_up_to, quantile_ms};
@@ -9,43 +9,44 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The time within which a proxy has to be notified of a change. It begins when discovery has the
-/// change and can be reached.
+/// The time within which a proxy has to be notified of a change. It starts when discovery has the
+/// change and the proxy can reach discovery.
 pub const NOTIFICATION_DEADLINE: Micros = Micros(6_000_000);
-/// The time that a proxy has to act on a notification.
+/// The time within which a proxy has to react to a notification.
 pub const REACTION_TIME: Micros = Micros(500_000);
 
-/// The longest delay that the histogram resolves, us.
+/// The longest delay that the histogram can record, us.
 const MAX_RECORDED_DELAY_MICROS: u64 = 3_600_000_000;
 
-/// Whether a proxy sent an attempt too late: to a backend that it should have known to take no new
-/// requests.
+/// Whether a proxy sent an attempt too late, that is, to a backend that it should have known to
+/// take no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lateness {
-    /// The proxy could not know it, or was notified within the last [`REACTION_TIME`].
+    /// The backend takes new requests, or the proxy could not know that it does not, or the proxy
+    /// was notified within the last [`REACTION_TIME`].
     InTime,
-    /// The proxy had been notified for longer than [`REACTION_TIME`].
+    /// The proxy was notified more than [`REACTION_TIME`] ago.
     AfterNotification,
-    /// The proxy was notified too late or not at all: [`NOTIFICATION_DEADLINE`] and
-    /// [`REACTION_TIME`] had passed.
+    /// The proxy was notified too late or not at all: [`NOTIFICATION_DEADLINE`] plus
+    /// [`REACTION_TIME`] has passed since it could have been notified.
     AfterDeadline,
 }
 
-/// A notification of a proxy, after which it knows of all changes up to a number.
+/// A notification of a proxy, after which the proxy knows the first `known_changes` changes.
 #[derive(Clone, Copy, Debug)]
 struct Notification {
-    /// How many changes the proxy knew of from then on.
+    /// The number of changes that the proxy knew from then on.
     known_changes: usize,
     at: Time,
 }
 
-/// What the present process of a proxy knows of the changes.
+/// The changes that the current process of a proxy knows.
 struct ProxyKnowledge {
     /// When the process started.
     started_at: Time,
-    /// How many changes it knows of.
+    /// The number of changes that it knows.
     known_changes: usize,
-    /// Its notifications, in the order of time.
+    /// Its notifications, in order of time.
     notifications: Vec<Notification>,
 }
 
@@ -62,7 +63,7 @@
         }
     }
 
-    /// When it was notified of a change, if it was.
+    /// When it was notified of a change; `None` if it was not.
     fn notified_at(&self, change: usize) -> Option<Time> {
         let position = self
             .notifications
@@ -71,46 +72,47 @@
     }
 }
 
-/// How long changes took to reach proxies, over all pairs of a proxy and a change.
+/// Statistics of how long changes took to reach proxies, over all pairs of a proxy and a change.
 ///
-/// The delay of a pair begins when discovery has the change and can be reached by the process of
-/// the proxy. It ends when the proxy is notified.
+/// The delay of a pair starts when discovery has the change and the process of the proxy can reach
+/// discovery. It ends when the proxy is notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PropagationFigures {
     /// The median delay, ms.
     pub delay_p50_ms: f64,
     /// The 99th percentile of the delay, ms.
     pub delay_p99_ms: f64,
-    /// The longest delay, ms. A pair without a notification counts with its delay until the end.
+    /// The longest delay, ms. The delay of a pair without a notification lasts until the end of the
+    /// run.
     pub delay_max_ms: f64,
-    /// Pairs whose delay is over [`NOTIFICATION_DEADLINE`], also without a notification.
+    /// Pairs whose delay exceeds [`NOTIFICATION_DEADLINE`], including those without a notification.
     #[serde(rename = "over_6s")]
     pub after_deadline: u64,
-    /// Pairs without a notification by the end.
+    /// Pairs without a notification at the end of the run.
     #[serde(rename = "untold")]
     pub not_notified: u64,
-    /// All pairs, those without a notification included.
+    /// All pairs, including those without a notification.
     pub pairs: u64,
 }
 
-/// All changes in the order in which they were made, and what each proxy knows of them.
+/// All changes in the order in which they were made, and which of them each proxy knows.
 pub struct ChangeLog {
     outage: Option<Outage>,
     changes: Vec<BackendChange>,
     proxies: Vec<ProxyKnowledge>,
     /// The delays of pairs with a notification, us.
     delays: Histogram<u64>,
-    /// Pairs of a proxy and a change with a notification.
+    /// The number of pairs of a proxy and a change with a notification.
     notified_pairs: u64,
-    /// Those of them whose delay is over [`NOTIFICATION_DEADLINE`].
+    /// The number of such pairs whose delay exceeded [`NOTIFICATION_DEADLINE`].
     notified_after_deadline: u64,
-    /// For each backend that takes no new requests: the number of the first change since it was
+    /// Maps each backend that takes no new requests to the index of the first change after it was
     /// last ready.
     unavailable_since: BTreeMap<u32, usize>,
 }
 
 impl ChangeLog {
-    /// A log without changes; all proxies started at that time.
+    /// An empty log. All proxies have started at the time `start`.
     pub fn new(proxies: u32, outage: Option<Outage>, start: Time) -> ChangeLog {
         ChangeLog {
             outage,
@@ -125,12 +127,12 @@
         }
     }
 
-    /// How many changes were made so far.
+    /// The number of changes so far.
     pub fn count(&self) -> usize {
         self.changes.len()
     }
 
-    /// Adds a change.
+    /// Appends a change.
     pub fn append(&mut self, change: BackendChange) {
         if change.state == BackendState::Ready {
             self.unavailable_since.remove(&change.backend);
@@ -143,12 +145,13 @@
         self.changes.push(change);
     }
 
-    /// How many changes a proxy knows of.
+    /// The number of changes that a proxy knows.
     pub fn known_changes(&self, proxy: u32) -> usize {
         self.proxies[proxy as usize].known_changes
     }
 
-    /// The newest state of each backend that changed after the first `known_changes` changes.
+    /// The newest state of each backend that is affected by a change after the first
+    /// `known_changes`.
     pub fn endpoints_since(&self, known_changes: usize) -> Vec<Endpoint> {
         let mut newest: BTreeMap<u32, Endpoint> = BTreeMap::new();
         for change in &self.changes[known_changes..] {
@@ -159,7 +162,7 @@
         newest.into_values().collect()
     }
 
-    /// Records that a proxy has now been notified of all changes.
+    /// Records that a proxy is notified of all changes at the time `now`.
     pub fn record_notification(&mut self, proxy: u32, now: Time) {
         let knowledge = &self.proxies[proxy as usize];
         for change in knowledge.known_changes..self.changes.len() {
@@ -179,12 +182,14 @@
         }
     }
 
-    /// Records a new process of a proxy. Its list is that after the first `known_changes` changes.
+    /// Records the restart of a proxy. The endpoint list of the new process contains the first
+    /// `known_changes` changes.
     pub fn record_restart(&mut self, proxy: u32, now: Time, known_changes: usize) {
         self.proxies[proxy as usize] = ProxyKnowledge::new(now, known_changes);
     }
 
-    /// When discovery had a change and that process could reach it.
+    /// The time from which discovery had a change and the process of the proxy could reach
+    /// discovery.
     fn reachable_at(&self, change: usize, knowledge: &ProxyKnowledge) -> Time {
         let made_at = self.changes[change].at;
         let available_at = match self.outage {
@@ -211,12 +216,12 @@
         }
     }
 
-    /// The backends that changed so far, one entry for each change.
+    /// The backends that changed so far, with one entry per change.
     pub fn changed_backends(&self) -> impl Iterator<Item = u32> + '_ {
         self.changes.iter().map(|change| change.backend)
     }
 
-    /// The figures at the end of the run.
+    /// The statistics at the end of the run.
     pub fn figures(&self, end: Time) -> PropagationFigures {
         let pending = self.pending_delays(end);
         let is_late = |delay: &&Micros| **delay > NOTIFICATION_DEADLINE;
@@ -234,7 +239,7 @@
         }
     }
 
-    /// The longest delay of a pair with a notification, 0 if there is none.
+    /// The longest delay of all pairs with a notification; 0 if there are none.
     fn longest_notified_delay(&self) -> Micros {
         // The maximum of an empty histogram is undefined.
         if self.delays.is_empty() {
@@ -243,7 +248,7 @@
         Micros(self.delays.max())
     }
 
-    /// The delays until `end` of all pairs without a notification.
+    /// The delays of all pairs without a notification, up to `end`.
     fn pending_delays(&self, end: Time) -> Vec<Micros> {
         let mut delays = Vec::new();
         for knowledge in &self.proxies {
--- a/crates/fleet-simulator/src/simulated/proxy/actions.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the balancer's actions.
+//! Carries out the actions of the balancer.
 
 use super::open_requests::InFlightAttempt;
 use super::Proxy;
@@ -24,7 +24,7 @@
             Action::Cancel { request, attempt } => self.cancel(now, request, attempt),
             Action::SetTimer { token, after } => self.timers.set(now + after, token),
             Action::WatchEndpoints => self.outputs.push(ProxyOutput::WatchEndpoints),
-            // The model keeps one connection to each backend, whatever limit the balancer sets.
+            // The model keeps one connection to each backend and ignores the balancer's limit.
             Action::LimitIdleConnections { .. } | Action::Log(_) => {}
         }
     }
@@ -54,8 +54,8 @@
         });
     }
 
-    /// Tells the balancer that an attempt was not sent. As in the real proxy, that happens when the
-    /// request has been answered in the same tick.
+    /// Reports to the balancer that an attempt was not sent. As in the real proxy, this happens if
+    /// the request has had its final response in the same tick.
     fn report_not_sent(&mut self, request: RequestId, attempt: AttemptNumber) {
         self.next_tick_events.push(Event::AttemptEnded(AttemptEnd {
             request,
--- a/crates/fleet-simulator/src/simulated/proxy/clients.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of one proxy: a Poisson stream of requests.
+//! The clients of one proxy, which send requests as a Poisson process.
 
 use crate::arrivals::arrival_intervals;
 use crate::failure::InputError;
@@ -10,7 +10,7 @@
 /// A request of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
-    /// Its number, unique within the proxy.
+    /// Its id, unique within the proxy.
     pub id: RequestId,
     /// When it arrives.
     pub arrived_at: Time,
@@ -25,7 +25,7 @@
 }
 
 impl Clients {
-    /// Clients that send this many requests a second from that time on.
+    /// Clients that send `per_second` requests per second on average, from the time `start` on.
     pub fn new(per_second: f64, start: Time, seed: u64) -> Result<Clients, InputError> {
         let intervals = arrival_intervals(per_second)?;
         let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -43,7 +43,7 @@
         self.next_arrival
     }
 
-    /// Takes the next request.
+    /// Takes the next request and draws the arrival time of the one after it.
     pub fn next_request(&mut self) -> ClientRequest {
         let arrived_at = self.next_arrival;
         let interval = Micros::from_secs(self.intervals.sample(&mut self.random));
--- a/crates/fleet-simulator/src/simulated/proxy/connections.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/connections.rs
@@ -1,5 +1,5 @@
-//! The connections of one proxy to backends. There is one for each backend that it has used, open
-//! until it has been idle for too long.
+//! The connections of one proxy. There is one to each backend that it has used, which stays open
+//! until it exceeds the idle timeout.
 
 use crate::simulated::context::SharedContext;
 use brookstack_balancer::Time;
@@ -15,18 +15,18 @@
 /// How one proxy used one backend.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendUse {
-    /// Attempts sent in the measurement window.
+    /// The number of attempts sent in the measurement window.
     pub attempts: u32,
     /// The open connection, if there is one.
     connection: Option<Connection>,
 }
 
-/// Counts of attempts, and of the connections that were opened for them.
+/// The number of attempts, and of connections that were opened for them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionCounts {
-    /// Attempts.
+    /// The number of attempts.
     pub attempts: u64,
-    /// New connections.
+    /// The number of new connections.
     pub opened: u64,
 }
 
@@ -38,17 +38,17 @@
     }
 }
 
-/// The connections of one proxy, and the counts of attempts and new connections.
+/// The connections of one proxy, and the number of its attempts and new connections.
 #[derive(Debug, Default)]
 pub struct Connections {
-    /// The backends that it has used, by number.
+    /// The backends that the proxy has used, by their number.
     pub backends: HashMap<u32, BackendUse>,
-    /// The counts of each half of the measurement window.
+    /// The counts for each half of the measurement window.
     pub halves: [ConnectionCounts; 2],
 }
 
 impl Connections {
-    /// Records an attempt that is sent to a backend now; returns when its connection was opened.
+    /// Records an attempt that is sent to a backend. Returns when its connection was opened.
     pub fn record_attempt(&mut self, now: Time, backend: u32, shared: &SharedContext) -> Time {
         let backend_use = self.backends.entry(backend).or_default();
         let is_kept = |connection: &Connection| {
@@ -69,7 +69,7 @@
         opened_at
     }
 
-    /// Closes the connection to a backend, whose process has ended.
+    /// Closes the connection to a backend whose process has ended.
     pub fn close(&mut self, backend: u32) {
         if let Some(backend_use) = self.backends.get_mut(&backend) {
             backend_use.connection = None;
@@ -83,12 +83,12 @@
         }
     }
 
-    /// How many backends got an attempt in the measurement window.
+    /// The number of backends that received an attempt in the measurement window.
     pub fn used_backends(&self) -> u64 {
         self.backends.values().filter(|b| b.attempts > 0).count() as u64
     }
 
-    /// The attempts in the whole window.
+    /// The number of attempts in the measurement window.
     pub fn total_attempts(&self) -> u64 {
         self.halves.iter().map(|half| half.attempts).sum()
     }
--- a/crates/fleet-simulator/src/simulated/proxy/events.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/events.rs
@@ -1,4 +1,5 @@
-//! Turns what has happened since a proxy's last tick into events of the balancer.
+//! Converts the arrivals, inputs and timeouts since the last tick of a proxy to events of the
+//! balancer.
 
 use super::inbox::ArrivedInput;
 use super::open_requests::Deadline;
@@ -10,7 +11,7 @@
 };
 
 impl Proxy {
-    /// Takes arrivals of requests and inputs that are due, in the order of their times.
+    /// Converts due arrivals of requests and due inputs to events, in order of time.
     pub(super) fn take_inputs(&mut self, now: Time, events: &mut Vec<Event>) {
         loop {
             let next_input_at = self.inbox.next_at().unwrap_or(Time(u64::MAX));
@@ -56,7 +57,8 @@
         }
     }
 
-    /// The event for the end of an attempt; `None` if the proxy has given up on it before.
+    /// The event for the end of an attempt; `None` if the proxy no longer tracks the attempt,
+    /// because it was cancelled or has timed out.
     fn attempt_ended(
         &mut self,
         at: Time,
@@ -87,8 +89,8 @@
         }))
     }
 
-    /// Ends the attempts of requests whose client has given up. The balancer has to answer such a
-    /// request within a further [`RESPONSE_GRACE_TICKS`].
+    /// Ends the attempts of requests whose client deadline has passed. The balancer has to give the
+    /// final response to such a request within [`RESPONSE_GRACE_TICKS`] after the deadline.
     pub(super) fn time_out_requests(&mut self, now: Time, events: &mut Vec<Event>) {
         while let Some(Deadline { at, request }) = self.requests.pop_client_deadline(now) {
             let Some(open) = self.requests.get_mut(request) else {
@@ -118,15 +120,15 @@
         }
     }
 
-    /// Takes the timers that have expired.
+    /// Converts expired timers to events.
     pub(super) fn take_timers(&mut self, now: Time, events: &mut Vec<Event>) {
         while let Some(token) = self.timers.pop_expired(now) {
             events.push(Event::Timer { token });
         }
     }
 
-    /// Closes requests that the balancer has not answered in time. The balancer learns of it in the
-    /// next tick.
+    /// Closes requests to which the balancer has given no final response in time. The balancer is
+    /// notified in the next tick, as if their clients had disconnected.
     pub(super) fn close_unanswered(&mut self, now: Time) {
         while let Some(Deadline { request, .. }) = self.requests.pop_response_deadline(now) {
             if self.requests.awaits_response(request) {
--- a/crates/fleet-simulator/src/simulated/proxy/inbox.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/inbox.rs
@@ -1,10 +1,10 @@
-//! The inputs that are on their way to one proxy.
+//! The inputs that are in transit to one proxy.
 
 use crate::simulated::messages::ProxyInput;
 use brookstack_balancer::Time;
 use std::collections::BTreeMap;
 
-/// The order of inputs: by the time at which they reach the proxy, then in the order of sending.
+/// The sort key of inputs: the time at which they reach the proxy, then the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     at: Time,
@@ -17,7 +17,7 @@
     pub(super) input: ProxyInput,
 }
 
-/// The inputs that have not reached the proxy yet.
+/// The queue of inputs that the proxy has not taken yet.
 #[derive(Default)]
 pub(super) struct Inbox {
     inputs: BTreeMap<Position, ProxyInput>,
@@ -25,7 +25,7 @@
 }
 
 impl Inbox {
-    /// Adds an input that will reach the proxy at that time.
+    /// Adds an input that reaches the proxy at the time `at`.
     pub(super) fn push(&mut self, at: Time, input: ProxyInput) {
         self.inputs_so_far += 1;
         let sequence_number = self.inputs_so_far;
@@ -42,7 +42,7 @@
         Some(position.at)
     }
 
-    /// Takes the next input, whenever it reaches the proxy.
+    /// Removes the next input and returns it, even if it has not reached the proxy yet.
     pub(super) fn pop(&mut self) -> Option<ArrivedInput> {
         let (position, input) = self.inputs.pop_first()?;
         Some(ArrivedInput {
--- a/crates/fleet-simulator/src/simulated/proxy/mod.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/mod.rs
@@ -1,6 +1,6 @@
-//! One simulated proxy: the balancer, with clients of its own, on the simulated clock and without
-//! sockets. It drives the balancer as the real proxy does: once a tick it passes on events, then
-//! expired timers.
+//! One simulated proxy: a balancer with its own clients, on the simulated clock and without
+//! sockets. It drives the balancer in the same way as the real proxy: once per tick it passes the
+//! events to the balancer, then the expired timers.
 
 mod actions;
 mod clients;
@@ -23,7 +23,7 @@
 use open_requests::OpenRequests;
 pub use request_counts::RequestCounts;
 
-/// How long a client waits for its answer.
+/// How long a client waits for a response.
 const CLIENT_TIMEOUT: Micros = Micros(2_000_000);
 
 /// One simulated proxy.
@@ -35,25 +35,25 @@
     requests: OpenRequests,
     inbox: Inbox,
     timers: TimerQueue,
-    /// Events that were produced in one tick and are passed on in the next.
+    /// Events that were produced in one tick and are passed to the balancer in the next.
     next_tick_events: Vec<Event>,
-    /// A buffer for the balancer's actions, empty between events.
+    /// A buffer for the balancer's actions, which is reused and is empty between events.
     actions: Vec<Action>,
-    /// What it has sent and the world has not taken yet.
+    /// Outputs that the fleet has not processed yet.
     pub outputs: Vec<ProxyOutput>,
-    /// What became of its requests.
+    /// The number of its requests by outcome.
     pub counts: RequestCounts,
     /// Its connections to backends.
     pub connections: Connections,
 }
 
-/// The seed of one process of a proxy.
+/// The seed of one process of a proxy, derived from the seed of the fleet.
 fn process_seed(fleet_seed: u64, proxy: u32, process: u32) -> u64 {
     fleet_seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (u64::from(proxy) << 20) ^ u64::from(process)
 }
 
 impl Proxy {
-    /// A proxy that gets this many requests a second.
+    /// A proxy whose clients send `requests_per_second` from the time `start` on.
     pub fn new(
         config: Config,
         fleet_seed: u64,
@@ -78,13 +78,13 @@
         })
     }
 
-    /// Sends the proxy an input, which reaches it at that time.
+    /// Queues an input, which reaches the proxy at the time `at`.
     pub fn deliver(&mut self, at: Time, input: ProxyInput) {
         self.inbox.push(at, input);
     }
 
-    /// Replaces the process by a new one in the same moment. The clients stay. Returns the attempts
-    /// that were in flight.
+    /// Replaces the process by a new one without delay. The clients stay. Returns the attempts that
+    /// were in flight.
     pub fn restart(
         &mut self,
         fleet_seed: u64,
@@ -100,7 +100,7 @@
         Ok(interrupted)
     }
 
-    /// Drops all open requests. Returns their attempts in flight, in their order.
+    /// Drops all open requests. Returns their attempts in flight, sorted.
     fn interrupt_requests(&mut self) -> Vec<AttemptKey> {
         let dropped: Vec<_> = self.requests.drain().collect();
         let mut attempts = Vec::new();
@@ -114,12 +114,12 @@
         attempts
     }
 
-    /// How many requests have no answer yet.
+    /// The number of open requests that have no final response yet.
     pub fn unanswered(&self) -> u64 {
         self.requests.unanswered()
     }
 
-    /// Runs one tick: passes all that is due to the balancer.
+    /// Runs one tick: passes all due events and expired timers to the balancer.
     pub fn tick(&mut self, now: Time, shared: &SharedContext) {
         if !self.is_due(now) {
             return;
@@ -134,7 +134,7 @@
         self.close_unanswered(now);
     }
 
-    /// Whether a tick at that time has anything to do.
+    /// Whether there is anything to do in a tick at the time `now`.
     fn is_due(&self, now: Time) -> bool {
         !self.next_tick_events.is_empty()
             || self.clients.next_arrival() <= now
--- a/crates/fleet-simulator/src/simulated/proxy/open_requests.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/open_requests.rs
@@ -21,7 +21,7 @@
 pub struct OpenRequest {
     /// When it arrived.
     pub arrived_at: Time,
-    /// Whether it has had its final response.
+    /// Whether it has had its final response, which may be a rejection or a failure.
     pub is_answered: bool,
     /// Its attempts that have not ended.
     pub in_flight: Vec<InFlightAttempt>,
@@ -29,7 +29,7 @@
 }
 
 impl OpenRequest {
-    /// Counts a further attempt. Returns its number.
+    /// Counts a further attempt and returns its number.
     pub fn next_attempt(&mut self) -> AttemptNumber {
         let number = AttemptNumber(self.attempts_so_far);
         self.attempts_so_far += 1;
@@ -47,12 +47,12 @@
     }
 }
 
-/// A moment at which something is due for a request.
+/// A deadline of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadline {
-    /// When it is due.
+    /// When it passes.
     pub at: Time,
-    /// The request that it concerns.
+    /// The request.
     pub request: RequestId,
 }
 
@@ -60,17 +60,18 @@
 #[derive(Default)]
 pub struct OpenRequests {
     requests: HashMap<RequestId, OpenRequest>,
-    /// When clients give up. All clients wait equally long, so this is in the order of time.
+    /// The times at which clients stop waiting. All clients use the same timeout, so the deadlines
+    /// are in order of time.
     client_deadlines: VecDeque<Deadline>,
-    /// Until when the balancer has to answer a request whose client has given up, in the order of
-    /// time.
+    /// The times by which the balancer has to give a final response to requests whose client has
+    /// stopped waiting, in order of time.
     response_deadlines: VecDeque<Deadline>,
 }
 
 impl OpenRequests {
-    /// Adds a request whose client waits for `patience`. Returns when the client gives up.
-    pub fn insert(&mut self, request: ClientRequest, patience: Micros) -> Time {
-        let at = request.arrived_at + patience;
+    /// Adds a request whose client waits for `client_timeout`. Returns the client's deadline.
+    pub fn insert(&mut self, request: ClientRequest, client_timeout: Micros) -> Time {
+        let at = request.arrived_at + client_timeout;
         let open = OpenRequest {
             arrived_at: request.arrived_at,
             is_answered: false,
@@ -85,7 +86,7 @@
         at
     }
 
-    /// An open request.
+    /// An open request, if there is one with this id.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&request)
     }
@@ -97,7 +98,7 @@
             .is_some_and(|open| !open.is_answered)
     }
 
-    /// How many requests have had no final response.
+    /// The number of open requests that have had no final response.
     pub fn unanswered(&self) -> u64 {
         self.requests.values().filter(|r| !r.is_answered).count() as u64
     }
@@ -121,17 +122,18 @@
         }
     }
 
-    /// Sets until when the balancer has to answer a request whose client has given up.
+    /// Adds the deadline by which the balancer has to give a final response to a request whose
+    /// client has stopped waiting.
     pub fn push_response_deadline(&mut self, deadline: Deadline) {
         self.response_deadlines.push_back(deadline);
     }
 
-    /// Takes the next request whose client has given up by now.
+    /// Removes the next client deadline that has passed.
     pub fn pop_client_deadline(&mut self, now: Time) -> Option<Deadline> {
         pop_due(&mut self.client_deadlines, now)
     }
 
-    /// Takes the next request that the balancer had to answer by now.
+    /// Removes the next response deadline that has passed.
     pub fn pop_response_deadline(&mut self, now: Time) -> Option<Deadline> {
         pop_due(&mut self.response_deadlines, now)
     }
--- a/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
@@ -1,8 +1,8 @@
-//! What became of requests.
+//! The number of requests by outcome.
 
 use serde::Serialize;
 
-/// What became of requests.
+/// The number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RequestCounts {
     /// Requests that arrived.
@@ -10,14 +10,14 @@
     pub arrived: u64,
     /// Requests that were served.
     pub served: u64,
-    /// Rejected by the balancer: the client may safely retry.
+    /// Requests that the balancer rejected. The client may safely retry these.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed by the balancer.
+    /// Requests that the balancer failed.
     pub failed: u64,
-    /// Not answered by the balancer in time.
+    /// Requests to which the balancer gave no final response in time.
     pub unanswered: u64,
-    /// Open when their proxy restarted.
+    /// Requests that were open when their proxy restarted.
     #[serde(rename = "cut")]
     pub interrupted: u64,
 }
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -1,4 +1,5 @@
-//! The scenarios: what happens to a fleet. The timeline of a scenario is made before the run.
+//! The scenarios, that is, the faults and changes that a fleet goes through. The timeline of a
+//! scenario is generated before the run.
 
 use super::context::MeasurementWindow;
 use super::timeline::{BackendChange, Outage, Timeline};
@@ -10,71 +11,72 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-/// What happens to a fleet.
+/// The faults and changes that a fleet goes through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Scenario {
     /// Single backends are replaced, as in normal operation.
     Calm,
-    /// Discovery is down for 8 s. Some backends begin to drain during the outage, others after it.
+    /// Discovery is down for 8 s. Some backends start to drain during the outage, others after it.
     Outage,
-    /// A rack fails and comes back cold: its backends have to warm up.
+    /// A rack fails and comes back cold, so its backends have to warm up.
     Cold,
-    /// All proxies restart at once with an old endpoint list.
+    /// All proxies restart at the same time with an outdated endpoint list.
     Release,
-    /// All proxies restart at once. In the same moment a rack comes back cold, and their endpoint
-    /// list contains it already.
+    /// All proxies restart at the moment at which a rack comes back cold. Their endpoint list
+    /// already contains the rack.
     Rebirth,
 }
 
-/// How long discovery is down.
+/// The duration of an outage of discovery.
 const OUTAGE_DURATION: Micros = Micros(8_000_000);
-/// An outage begins, or a rack fails, this long after the start of the measurement window.
+/// The time from the start of the measurement window to the start of an outage or to the failure of
+/// a rack.
 const FAULT_DELAY: Micros = Micros(1_000_000);
-/// Backends begin to drain this long after the start of the outage.
+/// The time from the start of an outage until backends start to drain.
 const DRAIN_DELAY_IN_OUTAGE: Micros = Micros(2_000_000);
-/// Backends begin to drain this long after the end of the outage.
+/// The time from the end of an outage until further backends start to drain.
 const DRAIN_DELAY_AFTER_OUTAGE: Micros = Micros(500_000);
-/// The fraction of the backends that begin to drain together: during an outage, after it, or before
-/// a release.
+/// The fraction of the backends that start to drain at the same time: during an outage, after it,
+/// or before a release.
 const DRAINED_FRACTION: f64 = 0.02;
-/// How long a backend that is replaced drains.
+/// How long a backend drains before it is replaced.
 const DRAIN_DURATION: Micros = Micros(2_000_000);
-/// How long it is absent after that.
+/// The time from the removal of a replaced backend until it returns.
 const REPLACEMENT_DURATION: Micros = Micros(3_000_000);
-/// How long a failed rack is absent.
+/// The time from the failure of a rack until it returns.
 const RACK_DOWNTIME: Micros = Micros(4_000_000);
-/// Before a release some backends begin to drain, which the proxies' old list does not show. The
-/// proxies restart this long after that.
+/// The time from the start of draining to the restart of the proxies in a release. The outdated
+/// endpoint list of the restarted proxies does not show that these backends drain.
 const RELEASE_DELAY: Micros = Micros(3_000_000);
-/// The least rate of replacements, per second, that the generator of their times is built with. It
-/// accepts no rate of 0.
+/// The lower bound of the rate parameter of the distribution of replacement times, per second. The
+/// distribution does not accept a rate of 0.
 const MIN_REPLACEMENT_RATE: f64 = 1e-9;
 
-/// What a scenario's timeline depends on.
+/// The parameters of a scenario's timeline.
 #[derive(Clone, Copy, Debug)]
 pub struct TimelineSettings {
-    /// How many backends there are.
+    /// The number of backends.
     pub backends: usize,
-    /// How many of them form the rack that fails.
+    /// The number of backends in the rack that fails.
     pub rack_size: usize,
-    /// Backends replaced a second, in [`Scenario::Calm`].
+    /// The number of backends that are replaced per second, in [`Scenario::Calm`].
     pub replacements_per_second: f64,
-    /// The time over which figures are counted; changes are made in it.
+    /// The measurement window, during which changes are made.
     pub window: MeasurementWindow,
-    /// The seed of all that is random.
+    /// The seed of the random number generator.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// Its name, as on the command line and in JSON.
+    /// The name of the scenario on the command line and in JSON.
     pub fn name(self) -> String {
         let json = serde_json::to_value(self).ok();
         let name = json.as_ref().and_then(|value| value.as_str());
         name.unwrap_or_default().to_string()
     }
 
-    /// The least length of the measurement window in which the scenario shows its effects, s.
+    /// The shortest measurement window in which the scenario shows its effects, s.
     pub fn min_secs(self) -> f64 {
         match self {
             Scenario::Calm => 0.5,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Makes the scenario's timeline.
+    /// Generates the timeline of the scenario.
     pub fn timeline(self, settings: TimelineSettings) -> Timeline {
         let mut builder = TimelineBuilder {
             random: Pcg64Mcg::seed_from_u64(settings.seed),
@@ -109,7 +111,7 @@
     }
 }
 
-/// Puts a timeline together.
+/// Generates a timeline.
 struct TimelineBuilder {
     settings: TimelineSettings,
     random: Pcg64Mcg,
@@ -117,7 +119,7 @@
 }
 
 impl TimelineBuilder {
-    /// Single backends drain, are removed and come back, each at most once.
+    /// Single backends drain, are removed and return, each at most once.
     fn replace_backends(&mut self) {
         let rate = self.settings.replacements_per_second;
         let intervals = Exp::new(rate.max(MIN_REPLACEMENT_RATE)).expect("a rate above 0");
@@ -146,7 +148,7 @@
         self.start(backend, returns_at);
     }
 
-    /// Discovery goes down; backends drain during the outage and after it.
+    /// Discovery has an outage. Some backends start to drain during it, others after it.
     fn take_discovery_down(&mut self) {
         let start = self.settings.window.start + FAULT_DELAY;
         let end = start + OUTAGE_DURATION;
@@ -155,7 +157,7 @@
         self.drain_some(end + DRAIN_DELAY_AFTER_OUTAGE);
     }
 
-    /// A rack fails and comes back. Returns when it comes back.
+    /// A rack fails and returns. Gives the time of its return.
     fn fail_rack(&mut self) -> Time {
         let fails_at = self.settings.window.start + FAULT_DELAY;
         let returns_at = fails_at + RACK_DOWNTIME;
@@ -168,7 +170,8 @@
         returns_at
     }
 
-    /// Some backends begin to drain. Then all proxies restart with a list in which these are ready.
+    /// Some backends start to drain. Then all proxies restart with an endpoint list in which these
+    /// backends are still ready.
     fn release(&mut self) {
         let start = self.settings.window.start;
         self.drain_some(start);
@@ -176,7 +179,7 @@
         self.timeline.restart_with_first_list = true;
     }
 
-    /// A random choice of backends begins to drain.
+    /// A random fraction of [`DRAINED_FRACTION`] of the backends, at least one, starts to drain.
     fn drain_some(&mut self, at: Time) {
         let backends = self.settings.backends;
         let count = ((backends as f64 * DRAINED_FRACTION) as usize).max(1);
--- a/crates/fleet-simulator/src/simulated/setup.rs
+++ b/crates/fleet-simulator/src/simulated/setup.rs
@@ -1,24 +1,26 @@
-//! What a run of a fleet is set up with.
+//! The setup of the run of a fleet.
 
 use super::scenario::Scenario;
 use serde::Serialize;
 
-/// Seconds before the measurement window.
+/// The time from the start of a run to the measurement window, s.
 pub const WARM_UP_SECS: f64 = 4.0;
 
-/// Faults that tests inject into the world, to show that a check of the figures fails.
+/// Faults that tests inject into the environment of the proxies, to show that the checks detect
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct FaultInjection {
-    /// Backends are this many times slower than their machine type says.
+    /// The factor by which backends are slower than their machine type.
     pub slowdown: f64,
-    /// Backends that warm up bear this fraction of the load that the settings allow.
+    /// Backends that are warming up tolerate only this fraction of the load that the settings
+    /// allow.
     #[serde(rename = "frailty")]
     pub fragility: f64,
-    /// Discovery sends nothing to watches.
+    /// Whether discovery sends no changes to watches.
     #[serde(rename = "mute")]
     pub unresponsive_discovery: bool,
-    /// This many of a hundred backends are hidden at the start: only one proxy in ten has them in
-    /// its first list.
+    /// The percentage of the backends that are hidden at the start: only one proxy in ten has them
+    /// in its first endpoint list.
     #[serde(rename = "hidden")]
     pub hidden_percent: usize,
 }
@@ -34,48 +36,48 @@
     }
 }
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Setup {
     /// The scenario.
     pub scenario: Scenario,
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxies: u32,
-    /// How many backends there are.
+    /// The number of backends.
     pub backends: usize,
-    /// Requests a second at a proxy, on average over all proxies.
+    /// Requests per second and proxy, on average over all proxies.
     #[serde(rename = "per_s")]
     pub requests_per_second: f64,
-    /// One proxy in ten gets this many times as many requests as the others.
+    /// The ratio of the request rate at every tenth proxy to the rate at the others.
     pub skew: f64,
-    /// Simulated seconds, warm-up included.
+    /// The simulated time, including the warm-up, s.
     #[serde(rename = "secs")]
     pub duration_secs: f64,
     /// The time that discovery takes to serve a call, ms.
     #[serde(rename = "call_ms")]
     pub discovery_call_ms: f64,
-    /// Backends replaced a second, in the scenario [`Scenario::Calm`].
+    /// The number of backends that are replaced per second, in the scenario [`Scenario::Calm`].
     #[serde(rename = "churn_per_s")]
     pub replacements_per_second: f64,
     /// The number of backends in the rack that fails.
     #[serde(rename = "rack")]
     pub rack_size: usize,
-    /// The setting `limits.conn_idle_us` of the proxies, here in seconds: the time after which an
-    /// idle connection is closed.
+    /// The setting `limits.conn_idle_us` of the proxies, converted to seconds: the time after which
+    /// an idle connection is closed.
     #[serde(rename = "conn_idle_secs")]
     pub connection_idle_secs: f64,
-    /// What the balancer's objective loses if every request crosses zones once.
+    /// By how much the balancer's objective decreases if every request crosses zones once.
     #[serde(rename = "cross_zone")]
     pub cross_zone_cost: f64,
-    /// The seed of all that is random.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Faults of the world that the settings of the proxies do not show.
+    /// Faults of the environment that the settings of the proxies do not account for.
     #[serde(rename = "flaws")]
     pub faults: FaultInjection,
 }
 
 impl Setup {
-    /// Requests a second at one proxy.
+    /// The rate at one proxy, in requests per second.
     pub(super) fn requests_per_second_of(&self, proxy: u32) -> f64 {
         // Every tenth proxy, the first among them, gets `skew` times as many requests as the
         // others. The mean over all proxies does not depend on `skew`.
--- a/crates/fleet-simulator/src/simulated/timeline.rs
+++ b/crates/fleet-simulator/src/simulated/timeline.rs
@@ -1,47 +1,47 @@
-//! The timeline of a run: which backends change when, when discovery is down, and when the proxies
-//! restart.
+//! The timeline of a run: the changes of backends, the outage of discovery, and the restart of the
+//! proxies.
 
 use brookstack_balancer::{BackendState, Time};
 
 /// A change of one backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendChange {
-    /// When it was made.
+    /// When the change is made.
     pub at: Time,
     /// The number of the backend.
     pub backend: u32,
     /// The backend's state from then on.
     pub state: BackendState,
-    /// When the backend last started; `None` means long ago.
+    /// When the backend last started; `None` if that is so long ago that it is warm.
     pub started_at: Option<Time>,
 }
 
-/// The time over which discovery can't be reached.
+/// The period in which discovery can't be reached.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// Its first moment.
+    /// The start of the outage.
     pub start: Time,
-    /// The first moment after it.
+    /// The end of the outage, from which on discovery can be reached.
     pub end: Time,
 }
 
 impl Outage {
-    /// Whether discovery is down at that time.
+    /// Whether discovery is down at a time.
     pub fn contains(&self, at: Time) -> bool {
         self.start <= at && at < self.end
     }
 }
 
-/// What happens when.
+/// The scheduled changes and faults of a run.
 #[derive(Debug, Default)]
 pub struct Timeline {
-    /// Changes of backends, in the order of time.
+    /// Changes of backends, in order of time.
     pub changes: Vec<BackendChange>,
-    /// When discovery is down.
+    /// The outage of discovery, if there is one.
     pub outage: Option<Outage>,
-    /// When all proxies restart.
+    /// When all proxies restart, if they do.
     pub restart_at: Option<Time>,
-    /// Whether the restarted proxies hold the endpoint list from before all changes. Otherwise they
-    /// hold the newest list.
+    /// Whether the restarted proxies get the endpoint list from before all changes. Otherwise they
+    /// get the newest list.
     pub restart_with_first_list: bool,
 }
