--- a/crates/fleet-simulator/src/args.rs
+++ b/crates/fleet-simulator/src/args.rs
@@ -1,4 +1,5 @@
-//! The command line: its commands and their options.
+//! The command line: commands and their options. The doc comments of arguments and commands are
+//! their help texts.
 
 mod matrix;
 mod setups;
@@ -8,7 +9,8 @@
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// Capacity tests: what one real proxy costs, and what many simulated proxies do together.
+/// Capacity and soak tests: resource use of one real proxy, the joint behavior of many simulated
+/// proxies, and real proxies under injected faults.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 pub struct Cli {
@@ -20,35 +22,37 @@
 /// What to run.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// The real proxy beside stand-ins, one cell for each number of backends and of tenants.
+    /// Measures a real proxy, with stand-ins for discovery, backends and clients. Measures one cell
+    /// for each combination of the numbers of backends and tenants.
     Real(RealArgs),
-    /// Simulated proxies on a simulated clock.
+    /// Runs simulated proxies on a simulated clock.
     Fleet(FleetArgs),
-    /// A fixed set of both, with a table for each.
+    /// Runs a fixed matrix of `real` and `fleet`, and prints a table for each.
     All(AllArgs),
-    /// Real proxies under faults that seeds draw, and the operators' rules.
+    /// Checks the operators' rules on real proxies under faults. The seed of a run determines its
+    /// faults.
     Soak(SoakArgs),
 }
 
 /// Options of `soak`.
 #[derive(Clone, Debug, Args)]
 pub struct SoakArgs {
-    /// The proxy's program.
+    /// Path of the proxy program.
     #[arg(long, default_value = "target/release/brookstack-proxy")]
     pub proxy: PathBuf,
-    /// How many runs there are, each with a seed of its own.
+    /// Number of runs. Each has its own seed.
     #[arg(long, default_value_t = 50)]
     pub seeds: u64,
-    /// The seed of the first run; each further run has the next one.
+    /// Seed of the first run. Each further run has the next higher seed.
     #[arg(long, default_value_t = 1)]
     pub first_seed: u64,
-    /// A seed that is left out. May be given several times.
+    /// A seed to skip. The option may be repeated.
     #[arg(long)]
     pub except: Vec<u64>,
-    /// Runs at once. Each needs about half a core.
+    /// Number of concurrent runs. Each needs about half a core.
     #[arg(long, default_value_t = 2)]
     pub jobs: usize,
-    /// Writes plans and results to this file, as JSON.
+    /// Writes the plans and results of all runs to this JSON file.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
@@ -56,50 +60,50 @@
 /// Options of `real`.
 #[derive(Clone, Debug, Args)]
 pub struct RealArgs {
-    /// The proxy's program.
+    /// Path of the proxy program.
     #[arg(long, default_value = "target/release/brookstack-proxy")]
     pub proxy: PathBuf,
-    /// Numbers of backends in the endpoint list. Each number makes a row of cells.
+    /// Numbers of backends in the endpoint list.
     #[arg(long, value_delimiter = ',', default_value = "200,2000,17000")]
     pub backends: Vec<usize>,
-    /// Numbers of tenants in the settings. Each number makes a cell for each number of backends.
+    /// Numbers of tenants in the settings. Each is measured with each number of backends.
     #[arg(long, value_delimiter = ',', default_value = "0,5800,58000")]
     pub tenants: Vec<usize>,
-    /// How the proxy learns the endpoint list.
+    /// How the proxy gets the endpoint list.
     #[arg(long, value_enum, default_value = "automatic")]
     pub discovery: DiscoveryMode,
-    /// Puts the endpoint list into the configuration, as after a restart. Otherwise the proxy has
-    /// to get it from discovery.
+    /// Puts the endpoint list into the configuration file, as after a restart. Otherwise the proxy
+    /// has to get it from discovery.
     #[arg(long)]
     pub known: bool,
-    /// Which of the 1,100 proxies of the target deployment it is, from 0.
+    /// Index of the proxy among the 1,100 proxies of the target deployment, from 0.
     #[arg(long, default_value_t = 0)]
     pub position: u32,
-    /// Listeners that the backends share.
+    /// Number of listeners that the backends share.
     #[arg(long, default_value_t = 256)]
     pub listeners: usize,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 70.0)]
     pub rate: f64,
-    /// The time that a backend takes for a request, ms.
+    /// Service time of a request at a backend, ms.
     #[arg(long, default_value_t = 5)]
     pub service_ms: u64,
-    /// How long the proxy idles, s.
+    /// Duration of the idle phase, s.
     #[arg(long, default_value_t = 20.0)]
     pub idle_secs: f64,
-    /// How long the load lasts, s. New connections are reported for each half of it.
+    /// Duration of the load phase, s. New connections are reported for each half of it.
     #[arg(long, default_value_t = 120.0)]
     pub load_secs: f64,
-    /// A connection that has been idle for this long is closed, s.
+    /// Idle timeout of backend connections, s.
     #[arg(long, default_value_t = 30.0)]
     pub conn_idle_secs: f64,
-    /// Cells that run at once. Each needs about half a core.
+    /// Number of cells that run concurrently. Each needs about half a core.
     #[arg(long, default_value_t = 1)]
     pub jobs: usize,
-    /// The seed of all that is random.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Writes the figures to this file, as JSON.
+    /// Writes the results to this JSON file.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
@@ -107,7 +111,7 @@
 /// Options of `fleet`.
 #[derive(Clone, Debug, Args)]
 pub struct FleetArgs {
-    /// What happens. There is one run for each scenario.
+    /// Scenarios. There is one run per scenario.
     #[arg(
         long,
         value_enum,
@@ -115,45 +119,45 @@
         default_value = "calm,outage,cold,release,rebirth"
     )]
     pub scenario: Vec<Scenario>,
-    /// How many proxies there are.
+    /// Number of proxies.
     #[arg(long, default_value_t = 30)]
     pub proxies: u32,
-    /// How many backends there are.
+    /// Number of backends.
     #[arg(long, default_value_t = 464)]
     pub backends: usize,
-    /// Requests a second at a proxy, on average. By default, the rate that gives each backend its
-    /// load at the target's peak.
+    /// Requests per second and proxy, on average. By default, the rate at which each backend has
+    /// the load that it has at the peak of the target deployment.
     #[arg(long)]
     pub rate: Option<f64>,
-    /// One proxy in ten gets this many times as many requests as the others.
+    /// Ratio of the request rate at every tenth proxy to the rate at the others.
     #[arg(long, default_value_t = 1.0)]
     pub skew: f64,
-    /// Simulated seconds, 4 of them to warm up.
+    /// Simulated time, s, of which the first 4 s are not measured.
     #[arg(long, default_value_t = 24.0)]
     pub secs: f64,
-    /// The time that discovery takes to serve a call, ms. By default, it serves all proxies once in
-    /// 6.5 s.
+    /// Time that discovery takes to serve a call, ms. By default, it can serve one call of each
+    /// proxy within 6.5 s.
     #[arg(long)]
     pub call_ms: Option<f64>,
-    /// Backends replaced a second, in the scenario `calm`.
+    /// Backends that are replaced per second in the scenario `calm`.
     #[arg(long, default_value_t = 0.2)]
     pub churn: f64,
-    /// The number of backends in the rack that fails. By default, one in 425 backends, at least 4.
+    /// Number of backends in the rack that fails. By default, one in 425 backends, but at least 4.
     #[arg(long)]
     pub rack: Option<usize>,
-    /// A connection that has been idle for this long is closed, s.
+    /// Idle timeout of backend connections, s.
     #[arg(long, default_value_t = 30.0)]
     pub conn_idle_secs: f64,
-    /// What the balancer's objective loses if every request crosses zones once.
+    /// By how much the balancer's objective decreases if every request crosses zones once.
     #[arg(long, default_value_t = 0.0)]
     pub cross_zone: f64,
-    /// Threads. The figures do not depend on their number.
+    /// Number of threads. The results do not depend on it.
     #[arg(long, default_value_t = 3)]
     pub threads: usize,
-    /// The seed of all that is random.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Writes the figures to this file, as JSON. The same options give the same bytes.
+    /// Writes the results to this JSON file. The same options give identical bytes.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
@@ -161,19 +165,19 @@
 /// Options of `all`.
 #[derive(Clone, Debug, Args)]
 pub struct AllArgs {
-    /// Runs fewer sizes and scenarios, and shorter phases.
+    /// Runs a smaller matrix: fewer sizes and scenarios, and shorter phases.
     #[arg(long)]
     pub quick: bool,
-    /// The proxy's program.
+    /// Path of the proxy program.
     #[arg(long, default_value = "target/release/brookstack-proxy")]
     pub proxy: PathBuf,
-    /// Threads of a fleet, and cells of the real proxy that run at once.
+    /// Number of threads of a fleet, and of cells of the real proxy that run concurrently.
     #[arg(long, default_value_t = 3)]
     pub threads: usize,
-    /// The seed of all that is random.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Writes the figures to this file, as JSON.
+    /// Writes the results to this JSON file.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
--- a/crates/fleet-simulator/src/args/matrix.rs
+++ b/crates/fleet-simulator/src/args/matrix.rs
@@ -1,10 +1,10 @@
-//! The sizes and scenarios that the command `all` runs.
+//! The matrix of the command `all`: its sizes and scenarios.
 
 use super::{AllArgs, FleetArgs, RealArgs};
 use crate::deployment::DiscoveryMode;
 use crate::simulated::scenario::Scenario;
 
-/// The sizes of the real proxy's cells, and how long each phase takes.
+/// The sizes of the real proxy's cells, and the durations of their phases.
 struct RealMatrix {
     backends: Vec<usize>,
     tenants: Vec<usize>,
@@ -12,7 +12,7 @@
     load_secs: f64,
 }
 
-/// A size of fleet, and what is run at it.
+/// The size of a fleet, its simulated time, and its scenarios.
 struct FleetSize {
     proxies: u32,
     backends: usize,
@@ -29,7 +29,7 @@
 ];
 
 impl AllArgs {
-    /// The cells of the real proxy, from small sizes to the target's.
+    /// The options for the cells of the real proxy, from small sizes up to the target deployment's.
     pub fn real(&self) -> RealArgs {
         let matrix = self.real_matrix();
         RealArgs {
@@ -69,9 +69,9 @@
         }
     }
 
-    /// The fleets. The one of the target's size has a short run, and one scenario, as it takes
-    /// long; smaller ones have all scenarios. The largest fleet is first, as only the first run of
-    /// a process reports its memory.
+    /// The options for each fleet. The fleet of the target's size runs only one scenario, for a
+    /// short time, because it is slow; smaller fleets run all scenarios. The largest fleet is
+    /// first, because only the first run of a process reports its memory.
     pub fn fleets(&self) -> Vec<FleetArgs> {
         let sizes = self.fleet_sizes();
         sizes.into_iter().map(|size| self.fleet(size)).collect()
--- a/crates/fleet-simulator/src/args/setups.rs
+++ b/crates/fleet-simulator/src/args/setups.rs
@@ -1,4 +1,4 @@
-//! Checks the options and turns them into setups.
+//! Validates the options and converts them to setups.
 
 use super::{FleetArgs, RealArgs};
 use crate::failure::InputError;
@@ -10,28 +10,30 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The largest number of backends, and of tenants.
+/// The largest number of backends, and the largest number of tenants.
 const MAX_COUNT: usize = 200_000;
 /// The largest number of listeners that backends share.
 const MAX_LISTENERS: usize = 2_000;
-/// The largest number of cells that run at once.
+/// The largest number of cells that run concurrently.
 const MAX_JOBS: usize = 16;
-/// The longest span, s.
-const MAX_SPAN_SECS: f64 = 3_600.0;
-/// The highest rate of requests at the real proxy, per second.
+/// The longest duration that an option accepts, s.
+const MAX_DURATION_SECS: f64 = 3_600.0;
+/// The highest rate at the real proxy, in requests per second.
 const MAX_REAL_RATE: f64 = 5_000.0;
-/// The highest rate of requests at a simulated proxy, per second.
+/// The highest rate at a simulated proxy, in requests per second.
 const MAX_SIMULATED_RATE: f64 = 100_000.0;
-/// Unless `--call-ms` is given, discovery takes this time, s, to serve one call of each proxy.
+/// The time in which discovery serves one call of each proxy, s, unless `--call-ms` is given.
 const DISCOVERY_ROUND_SECS: f64 = 6.5;
-/// Unless `--rack` is given, one in this many backends is in the rack that fails, and at least
-/// [`MIN_RACK_SIZE`] are.
+/// Unless `--rack` is given, one in this many backends is in the rack that fails, but at least
+/// [`MIN_RACK_SIZE`] backends.
 const BACKENDS_PER_RACK_MEMBER: usize = 425;
-/// The least size of a rack, unless `--rack` is given.
+/// The smallest rack, in backends, unless `--rack` is given.
 const MIN_RACK_SIZE: usize = 4;
-/// A rack is in one zone, so at most one in this many backends, the number of zones, is in it.
-const MAX_RACK_FRACTION: usize = 8;
+/// At most one in this many backends can be in the rack: a rack is in a single zone, and this is
+/// the number of zones.
+const MIN_BACKENDS_PER_RACK_MEMBER: usize = 8;
 
+/// Returns an error that names the option unless `is_met`.
 fn require(
     is_met: bool,
     option: &'static str,
@@ -57,13 +59,15 @@
     require(range.contains(&got), option, expected, got)
 }
 
-fn span(option: &'static str, secs: f64, min: f64) -> Result<Duration, InputError> {
-    let range = min..=MAX_SPAN_SECS;
-    let expected = format!("{min} to {MAX_SPAN_SECS} seconds");
+/// Converts the value of an option, in seconds, to a duration.
+fn duration(option: &'static str, secs: f64, min: f64) -> Result<Duration, InputError> {
+    let range = min..=MAX_DURATION_SECS;
+    let expected = format!("{min} to {MAX_DURATION_SECS} seconds");
     require(range.contains(&secs), option, expected, secs)?;
     Ok(Duration::from_secs_f64(secs))
 }
 
+/// Checks the value of an option that is a rate, in requests per second.
 fn rate(option: &'static str, per_second: f64, max: f64) -> Result<f64, InputError> {
     let is_valid = per_second > 0.0 && per_second <= max;
     let expected = format!("over 0 up to {max} a second");
@@ -72,7 +76,8 @@
 }
 
 impl RealArgs {
-    /// One setup per cell: for each number of backends, one for each number of tenants.
+    /// Validates the options and returns one setup per cell, that is, per combination of the
+    /// numbers of backends and tenants.
     pub fn setups(&self) -> Result<Vec<real::Setup>, InputError> {
         self.check_counts()?;
         self.check_program()?;
@@ -126,8 +131,11 @@
         require(
             self.proxy.is_file(),
             "proxy",
-            "the built proxy",
-            format_args!("{}; build it first", self.proxy.display()),
+            "the path of the built proxy program",
+            format_args!(
+                "{}, which is not a file; build the proxy first",
+                self.proxy.display()
+            ),
         )
     }
 
@@ -142,16 +150,17 @@
             listeners: self.listeners,
             requests_per_second: rate("rate", self.rate, MAX_REAL_RATE)?,
             service_time: Duration::from_millis(self.service_ms),
-            idle_duration: span("idle-secs", self.idle_secs, 1.0)?,
-            load_duration: span("load-secs", self.load_secs, 2.0)?,
-            connection_idle_secs: span("conn-idle-secs", self.conn_idle_secs, 1.0)?.as_secs_f64(),
+            idle_duration: duration("idle-secs", self.idle_secs, 1.0)?,
+            load_duration: duration("load-secs", self.load_secs, 2.0)?,
+            connection_idle_secs: duration("conn-idle-secs", self.conn_idle_secs, 1.0)?
+                .as_secs_f64(),
             seed: self.seed,
         })
     }
 }
 
 impl FleetArgs {
-    /// One setup per scenario.
+    /// Validates the options and returns one setup per scenario.
     pub fn setups(&self) -> Result<Vec<simulated::Setup>, InputError> {
         self.check_ranges()?;
         let discovery_call_ms = self.discovery_call_ms()?;
@@ -162,7 +171,7 @@
         }
         let setup = |scenario: &Scenario| {
             let min_secs = WARM_UP_SECS + scenario.min_secs();
-            require_range("secs", self.secs, min_secs..=MAX_SPAN_SECS)?;
+            require_range("secs", self.secs, min_secs..=MAX_DURATION_SECS)?;
             Ok(simulated::Setup {
                 scenario: *scenario,
                 proxies: self.proxies,
@@ -189,7 +198,11 @@
         require_range("churn", self.churn, 0.0..=1_000.0)?;
         require_range("cross-zone", self.cross_zone, 0.0..=1_000.0)?;
         require_range("threads", self.threads as f64, 1.0..=64.0)?;
-        require_range("conn-idle-secs", self.conn_idle_secs, 1.0..=MAX_SPAN_SECS)
+        require_range(
+            "conn-idle-secs",
+            self.conn_idle_secs,
+            1.0..=MAX_DURATION_SECS,
+        )
     }
 
     fn discovery_call_ms(&self) -> Result<f64, InputError> {
@@ -202,15 +215,15 @@
     fn rack_size(&self) -> Result<usize, InputError> {
         let default = (self.backends / BACKENDS_PER_RACK_MEMBER).max(MIN_RACK_SIZE);
         let rack_size = self.rack.unwrap_or(default);
-        let max = self.backends / MAX_RACK_FRACTION;
+        let max = self.backends / MIN_BACKENDS_PER_RACK_MEMBER;
         require_range("rack", rack_size as f64, 1.0..=max as f64)?;
         Ok(rack_size)
     }
 
     fn requests_per_second(&self) -> Result<f64, InputError> {
-        let peak_of_backends =
+        let peak_requests_per_second =
             PEAK_REQUESTS_PER_SECOND * self.backends as f64 / TARGET_BACKENDS as f64;
-        let default = peak_of_backends / f64::from(self.proxies);
+        let default = peak_requests_per_second / f64::from(self.proxies);
         rate("rate", self.rate.unwrap_or(default), MAX_SIMULATED_RATE)
     }
 }
--- a/crates/fleet-simulator/src/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings that a deployment gives to its proxies.
+//! The settings document that a deployment gives to its proxies.
 
 use crate::failure::InputError;
 use crate::world::{
@@ -10,36 +10,36 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// How proxies learn the endpoint list.
+/// How proxies get the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
-    /// An agent beside the proxy holds it.
+    /// From an agent on the proxy's machine, which holds the list.
     Automatic,
-    /// A central service is polled and watched.
+    /// From a central service, which the proxy polls and watches.
     Subscribe,
 }
 
-/// What the settings of a proxy depend on.
+/// The parameters that determine the settings of one proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// How many proxies there are.
+    /// The number of proxies.
     pub proxy_count: u32,
-    /// Which of them this one is.
+    /// The index of this proxy, from 0.
     pub proxy_index: u32,
-    /// How many tenants there are.
+    /// The number of tenants.
     pub tenant_count: usize,
-    /// How proxies learn the endpoint list.
+    /// How proxies get the endpoint list.
     pub mode: DiscoveryMode,
-    /// A connection that has been idle for this long is closed, s.
+    /// The idle timeout of backend connections, s.
     pub connection_idle_secs: f64,
-    /// The setting `costs.cross_zone`: how much the balancer's objective loses when every request
-    /// crosses zones once.
+    /// The setting `costs.cross_zone`: by how much the balancer's objective decreases if every
+    /// request crosses zones once.
     pub cross_zone_cost: f64,
 }
 
 impl Deployment {
-    /// The settings object, as a deployment writes it.
+    /// The settings document in the JSON format of a deployment.
     pub fn settings(&self) -> Value {
         json!({
             "blend": {"whole": 0.7, "worst_class": 0.3},
@@ -59,7 +59,7 @@
         })
     }
 
-    /// The tenants' part of the settings: the peak rate is spread evenly over them.
+    /// The tenants' section of the settings. The peak rate is divided evenly among the tenants.
     fn tenants(&self) -> Vec<Value> {
         let quota = PEAK_REQUESTS_PER_SECOND / self.tenant_count.max(1) as f64;
         let quota = (quota * 1000.0).round() / 1000.0;
@@ -68,7 +68,7 @@
             .collect()
     }
 
-    /// The limits on connections, attempts and open requests.
+    /// The `limits` section: limits on connections, attempts and open requests.
     fn limits(&self) -> Value {
         json!({
             "cancel": true,
@@ -80,7 +80,7 @@
         })
     }
 
-    /// The configuration that the balancer reads from these settings.
+    /// The balancer configuration that results from these settings.
     pub fn config(&self) -> Result<Config, InputError> {
         let settings = self.settings();
         let read = settings::read(&Key::root(&settings))?;
@@ -88,7 +88,7 @@
     }
 }
 
-/// The only service class: idempotent requests.
+/// The profile of the only service class. Its requests are idempotent.
 fn read_class() -> Value {
     json!({
         "name": "read",
@@ -103,7 +103,8 @@
     })
 }
 
-/// How backends warm up, and within which time a proxy has to send its first call to discovery.
+/// The `rules` section: how backends warm up, and how soon a proxy has to make its first call to
+/// discovery.
 fn warm_up_rules() -> Value {
     json!({
         "cold_from": SLOW_START_FLOOR,
--- a/crates/fleet-simulator/src/failure.rs
+++ b/crates/fleet-simulator/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command did not succeed, and the exit code that says so.
+//! The errors of the commands and their exit codes.
 
 use brookstack_balancer::settings::InvalidValue;
 use brookstack_balancer::ConfigError;
@@ -9,38 +9,38 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The exit code where a check failed or a measurement could not be made.
+/// The exit code if a check failed or a measurement could not be made.
 const EXIT_FAILED: u8 = 1;
-/// The exit code for input that can't be used.
-const EXIT_UNUSABLE_INPUT: u8 = 2;
+/// The exit code for invalid input.
+const EXIT_INVALID_INPUT: u8 = 2;
 
-/// Why a command did not succeed.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub enum Failure {
-    /// The input can't be used.
-    #[error("unusable input: {0}")]
+    /// The input is invalid.
+    #[error("invalid input: {0}")]
     Input(#[from] InputError),
     /// A measurement could not be made.
     #[error(transparent)]
     Measurement(#[from] MeasurementError),
-    /// Everything ran, and checks of the figures failed.
+    /// The command ran to its end, but some of the checks on its results failed.
     #[error("{count} checks failed")]
     ChecksFailed {
-        /// How many.
+        /// The number of failed checks.
         count: usize,
     },
 }
 
 impl Failure {
-    /// The code that the process exits with.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Failure::Input(_) => EXIT_UNUSABLE_INPUT,
+            Failure::Input(_) => EXIT_INVALID_INPUT,
             Failure::Measurement(_) | Failure::ChecksFailed { .. } => EXIT_FAILED,
         })
     }
 
-    /// Wraps the error of a step that a measurement needs.
+    /// Returns a function that wraps the error of a step of a measurement, for `map_err`.
     pub fn in_step<E>(step: &'static str) -> impl FnOnce(E) -> Failure
     where
         E: Into<Box<dyn StdError + Send + Sync>>,
@@ -52,54 +52,54 @@
     }
 }
 
-/// Why the input can't be used.
+/// Why the input is invalid.
 #[derive(Debug, Error)]
 pub enum InputError {
-    /// The value of an option is not one of those expected.
+    /// The value of an option is invalid.
     #[error("--{option}: expected {expected}, got {got}")]
     Option {
-        /// The option, without its dashes.
+        /// The name of the option, without the leading dashes.
         option: &'static str,
-        /// The values that it takes.
+        /// The values that are allowed.
         expected: String,
         /// The value that was given.
         got: String,
     },
     /// The list of scenarios is empty.
-    #[error("--scenario: expected one at least")]
+    #[error("--scenario: expected at least one scenario")]
     NoScenario,
-    /// No Poisson process has this rate.
-    #[error("rate {per_second}: {source}")]
+    /// There is no Poisson process with this rate.
+    #[error("cannot generate requests at a rate of {per_second} per second: {source}")]
     ArrivalRate {
-        /// Requests a second.
+        /// The rate, in requests per second.
         per_second: f64,
         /// The cause.
         source: rand_distr::ExpError,
     },
-    /// The balancer can't read the settings that were made from the options.
+    /// The settings document that was built from the options can't be read.
     #[error(transparent)]
     Settings(#[from] InvalidValue),
-    /// The balancer does not accept the configuration that was made from the options.
+    /// The balancer rejected the configuration that was built from the options.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The names of two backends have the same id.
-    #[error("{backends} backends: two names have one number")]
+    /// The names of two backends hash to the same id.
+    #[error("with {backends} backends, the names of two backends have the same id")]
     BackendIdCollision {
-        /// How many backends there are.
+        /// The number of backends.
         backends: usize,
     },
-    /// The proxy's program could not be started.
-    #[error("proxy {}: {source}", program.display())]
+    /// The proxy program could not be started.
+    #[error("cannot start the proxy program {}: {source}", program.display())]
     StartProxy {
-        /// The program.
+        /// The path of the program.
         program: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// The file for the figures could not be written.
-    #[error("--json {}: {source}", path.display())]
-    WriteFigures {
-        /// The file.
+    /// The JSON file with the results could not be written.
+    #[error("--json: cannot write {}: {source}", path.display())]
+    WriteResults {
+        /// The path of the file.
         path: PathBuf,
         /// The cause.
         source: io::Error,
@@ -110,35 +110,35 @@
 #[derive(Debug, Error)]
 pub enum MeasurementError {
     /// One of its steps failed.
-    #[error("{step}: {source}")]
+    #[error("measurement failed ({step}): {source}")]
     Step {
         /// The step that failed.
         step: &'static str,
         /// The cause.
         source: Box<dyn StdError + Send + Sync>,
     },
-    /// A simulated proxy could not be restarted.
-    #[error(transparent)]
-    RestartProxy(ConfigError),
-    /// The proxy's process exited in the middle of a measurement.
-    #[error("the proxy ended by itself")]
+    /// The balancer of a restarting simulated proxy rejected its configuration.
+    #[error("cannot restart a simulated proxy: {0}")]
+    RestartProxy(#[source] ConfigError),
+    /// The proxy process exited during a measurement.
+    #[error("the proxy process exited during the measurement")]
     ProxyExited,
-    /// The proxy's process exited at each start.
-    #[error("the proxy ended at each of {attempts} starts")]
+    /// The proxy process exited before it was ready, each time that it was started.
+    #[error("the proxy process exited before it was ready, in each of {attempts} starts")]
     ProxyExitedAtStart {
-        /// How often it was started.
+        /// How many times it was started.
         attempts: usize,
     },
-    /// The proxy did not become ready.
-    #[error("not ready within {within:?}")]
+    /// The proxy did not report that it was ready in time.
+    #[error("the proxy was not ready within {within:?}")]
     NotReady {
-        /// The time that it had.
+        /// The time limit.
         within: Duration,
     },
     /// The command received SIGINT.
-    #[error("interrupted")]
+    #[error("interrupted by SIGINT")]
     Interrupted,
     /// The command received SIGTERM.
-    #[error("terminated")]
+    #[error("terminated by SIGTERM")]
     Terminated,
 }
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -1,9 +1,11 @@
-//! Capacity tests.
+//! Capacity and soak tests of the proxy.
 //!
-//! [`real`] measures what one proxy process costs with a number of backends and tenants. Stand-ins
-//! take the place of discovery, backends and clients. [`simulated`] shows what many proxies do
-//! together: it runs their balancers in one process, on a simulated clock. [`soak`] checks the
-//! operators' rules on real proxies under faults that a seed draws.
+//! - [`real`] measures the memory, CPU time and added latency of one proxy process for a number of
+//!   backends and tenants. Stand-ins replace discovery, backends and clients.
+//! - [`simulated`] measures the joint behavior of many proxies. It runs their balancers in one
+//!   process, on a simulated clock.
+//! - [`soak`] injects faults around real proxies and checks the operators' rules. A seed determines
+//!   the faults of a run.
 
 pub mod args;
 mod arrivals;
--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the capacity tests.
+//! Entry point of the fleet simulator: runs the command, prints its tables, and writes JSON.
 
 use brookstack_fleet_simulator::args::{AllArgs, Cli, Command, FleetArgs, RealArgs, SoakArgs};
 use brookstack_fleet_simulator::failure::Failure;
@@ -17,7 +17,7 @@
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .init();
-    // Exits with 2 where the command line can't be parsed.
+    // `parse` exits with code 2 if the command line is invalid.
     let cli = Cli::parse();
     let result = match &cli.command {
         Command::Real(args) => run_real(args),
@@ -60,7 +60,7 @@
     }
     let cells = real::run_all(setups, real_args.jobs)?;
     println!(
-        "The real proxy beside stand-ins:\n\n{}",
+        "The real proxy, with stand-ins for discovery, backends and clients:\n\n{}",
         report::real_table(&cells)
     );
     print_disturbed_cells(&cells);
@@ -95,7 +95,7 @@
     report_failed_checks(&failed)
 }
 
-/// Runs a fleet once for each scenario.
+/// Runs the fleet once per scenario.
 fn run_scenarios(args: &FleetArgs) -> Result<Vec<FleetRun>, Failure> {
     let mut runs = Vec::new();
     for setup in args.setups()? {
@@ -103,17 +103,18 @@
         tracing::info!(
             proxies = setup.proxies,
             backends = setup.backends,
-            "fleet done: {:?}",
+            "fleet run finished: {:?}",
             setup.scenario
         );
     }
     Ok(runs)
 }
 
-/// Prints the cells whose figures a busy machine has disturbed. They stay in the table.
+/// Prints the cells whose times were distorted because other processes used the CPU. They stay in
+/// the table.
 fn print_disturbed_cells(cells: &[Cell]) {
     for line in report::disturbed_cells(cells) {
-        println!("busy machine, measure its times and stalls again: {line}");
+        println!("times and stalls distorted by other load on this machine, measure again: {line}");
     }
 }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// Prints the checks that failed. Any of them makes the command fail.
+/// Prints the failed checks. Returns an error if there are any, so that the command fails.
 fn report_failed_checks(failed: &[String]) -> Result<(), Failure> {
     for line in failed {
         println!("check failed: {line}");
--- a/crates/fleet-simulator/src/report.rs
+++ b/crates/fleet-simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures as markdown tables, as lists of what failed, and as JSON.
+//! Output of results: markdown tables, lists of failed checks, and JSON files.
 
 mod failures;
 mod fleet_table;
@@ -13,12 +13,13 @@
 use std::path::Path;
 pub use table::{Column, Table};
 
-/// Writes figures to a file, the same bytes for the same figures.
-pub fn write_json(path: &Path, figures: &impl Serialize) -> Result<(), Failure> {
-    let mut text = serde_json::to_string_pretty(figures).map_err(Failure::in_step("JSON"))?;
+/// Writes results to a JSON file. Equal results give identical bytes.
+pub fn write_json(path: &Path, results: &impl Serialize) -> Result<(), Failure> {
+    let mut text = serde_json::to_string_pretty(results)
+        .map_err(Failure::in_step("serializing the results as JSON"))?;
     text.push('\n');
     std::fs::write(path, text).map_err(|source| {
         let path = path.to_path_buf();
-        Failure::Input(InputError::WriteFigures { path, source })
+        Failure::Input(InputError::WriteResults { path, source })
     })
 }
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -1,19 +1,19 @@
-//! The lines that the commands print below their tables: failed checks, and cells whose figures a
-//! busy machine has disturbed.
+//! The lines that the commands print below their tables: failed checks, and cells whose times were
+//! distorted because other processes used the CPU.
 
 use super::real_table::cpu_wait;
 use crate::real::cell::Cell;
 use crate::simulated::figures::Figures;
 use crate::simulated::FleetRun;
 
-/// A restarted proxy has to be ready within this time, s.
+/// The time within which a restarted proxy has to be ready, s.
 const MAX_READY_SECS: f64 = 10.0;
-/// Where a cell had no core for more than this, % of the time, the machine has disturbed its times
-/// and stalls.
-const BUSY_PERCENT: f64 = 1.0;
+/// The longest CPU wait of an undisturbed cell, in % of the time. The times and stalls of a cell
+/// whose proxy waited longer for a core show the other load on the machine.
+const MAX_CPU_WAIT_PERCENT: f64 = 1.0;
 
-/// The checks on cells that failed, one per line. Rejected and slow requests fail no check, as the
-/// machine may have caused them.
+/// The failed checks of the cells, one line each. Rejected and slow requests fail no check, because
+/// other load on the machine can cause them.
 pub fn failed_cells(cells: &[Cell]) -> Vec<String> {
     cells.iter().flat_map(failed_cell_checks).collect()
 }
@@ -35,7 +35,7 @@
     format!("{} backends x {} tenants", cell.backends, cell.tenants)
 }
 
-/// The cells whose times a busy machine has disturbed, one per line.
+/// The cells whose times were distorted by other load on the machine, one line each.
 pub fn disturbed_cells(cells: &[Cell]) -> Vec<String> {
     let disturbed = cells.iter().filter(|cell| is_disturbed(cell));
     disturbed.map(disturbed_cell).collect()
@@ -43,7 +43,9 @@
 
 fn is_disturbed(cell: &Cell) -> bool {
     let waits = cell.cpu.cpu_wait_percent;
-    waits.into_iter().any(|percent| percent > BUSY_PERCENT)
+    waits
+        .into_iter()
+        .any(|percent| percent > MAX_CPU_WAIT_PERCENT)
 }
 
 fn disturbed_cell(cell: &Cell) -> String {
@@ -52,7 +54,7 @@
     format!("{name}: CPU wait of {waits} % of the time")
 }
 
-/// The checks on fleets that failed, one per line.
+/// The failed checks of the fleets, one line each.
 pub fn failed_fleets(runs: &[FleetRun]) -> Vec<String> {
     runs.iter()
         .flat_map(|run| failed_fleet_checks(&run.figures))
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -1,4 +1,4 @@
-//! The table of the command `fleet`: one row per run.
+//! The table of the command `fleet`, with one row per run.
 
 use super::table::{Column, Table};
 use crate::simulated::load::{CountRange, Load};
@@ -80,7 +80,7 @@
     },
 ];
 
-/// The table of the fleets of simulated proxies.
+/// Builds the table of simulated fleets.
 pub fn fleet_table(runs: &[FleetRun]) -> Table {
     Table::of(&COLUMNS, runs)
 }
@@ -120,7 +120,8 @@
     )
 }
 
-/// The largest load over the mean, for the machine type where this ratio is largest.
+/// The ratio of the largest load to the mean load, for the machine type with the highest ratio. In
+/// parentheses, the ratio that random choices would give.
 fn largest_load(load: &Load) -> String {
     let least_even = load
         .machine_types
--- a/crates/fleet-simulator/src/report/real_table.rs
+++ b/crates/fleet-simulator/src/report/real_table.rs
@@ -1,4 +1,4 @@
-//! The table of the command `real`: one row per cell of the matrix.
+//! The table of the command `real`, with one row per cell of the matrix.
 
 use super::table::{Column, Table};
 use crate::real::cell::Cell;
@@ -70,7 +70,7 @@
     },
 ];
 
-/// The table of the real proxy's cells.
+/// Builds the table of the real proxy's cells.
 pub fn real_table(cells: &[Cell]) -> Table {
     Table::of(&COLUMNS, cells)
 }
@@ -123,8 +123,8 @@
     )
 }
 
-/// The time in which the proxy was runnable and had no core, % of the time: when idle, under the
-/// load and under the probes.
+/// The fraction of the time in which the proxy was runnable but had no core, in %: when idle, under
+/// load, and under the probes.
 pub(super) fn cpu_wait(cell: &Cell) -> String {
     let percents = cell
         .cpu
--- a/crates/fleet-simulator/src/report/table.rs
+++ b/crates/fleet-simulator/src/report/table.rs
@@ -1,12 +1,12 @@
-//! A markdown table, and the columns that it is made of.
+//! Markdown tables and their columns.
 
 use std::fmt::{Display, Formatter, Result};
 
 /// A column of a table that shows one record per row.
 pub struct Column<Record> {
-    /// Its title.
+    /// The column's title.
     pub title: &'static str,
-    /// Gives the text of its cell in the row of a record.
+    /// Returns the text of the column's cell for a record.
     pub cell: fn(&Record) -> String,
 }
 
@@ -16,7 +16,7 @@
 }
 
 impl Table {
-    /// A table without rows that has these column titles.
+    /// A table with these column titles and no rows.
     pub fn new(titles: &[&str]) -> Table {
         let rule = titles.iter().map(|_| "---".into()).collect();
         Table {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A table of these columns with one row per record.
+    /// A table with these columns and one row per record.
     pub fn of<Record>(columns: &[Column<Record>], records: &[Record]) -> Table {
         let titles: Vec<&str> = columns.iter().map(|column| column.title).collect();
         let mut table = Table::new(&titles);
@@ -35,7 +35,7 @@
         table
     }
 
-    /// Adds a row.
+    /// Appends a row.
     pub fn row(&mut self, values: Vec<String>) {
         self.rows.push(values);
     }
--- a/crates/fleet-simulator/tests/command.rs
+++ b/crates/fleet-simulator/tests/command.rs
@@ -1,29 +1,29 @@
-//! The command line: exit codes (2 for unusable input, 1 for a failed check, 0 otherwise), messages
-//! and JSON files.
+//! Tests of the command line: exit codes (2 for invalid input, 1 for a failed check, 0 otherwise),
+//! messages and JSON files.
 
 use std::process::Command;
 
-/// What a run of the program ended with.
-struct Ended {
+/// The exit code and the output of a run of the program.
+struct CommandOutput {
     exit_code: i32,
     /// Standard output, followed by standard error.
     text: String,
 }
 
-/// Runs the program.
-fn run(arguments: &[&str]) -> Ended {
+/// Runs the program with the given arguments.
+fn run(arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_brookstack-fleet-simulator"))
         .args(arguments)
         .output()
         .expect("the program starts");
     let text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
-    Ended {
+    CommandOutput {
         exit_code: output.status.code().unwrap_or(-1),
         text: text.into_owned(),
     }
 }
 
-/// A fleet that runs in about a second.
+/// The arguments for a small fleet, which runs in about a second.
 const SMALL_FLEET: [&str; 9] = [
     "fleet",
     "--scenario",
@@ -37,7 +37,7 @@
 ];
 
 #[test]
-fn unusable_input_exits_with_2_and_states_what_was_expected() {
+fn invalid_input_exits_with_2_and_prints_what_was_expected() {
     for (arguments, expected) in [
         (
             vec!["fleet", "--proxies", "0"],
@@ -56,7 +56,7 @@
         (vec!["fleet", "--scenario", "storm"], "storm"),
         (
             vec!["real", "--proxy", "/nowhere"],
-            "--proxy: expected the built proxy, got /nowhere",
+            "--proxy: expected the path of the built proxy program, got /nowhere",
         ),
         (
             vec!["real", "--proxy", "/nowhere", "--backends", "0"],
@@ -64,20 +64,20 @@
         ),
         (vec!["nothing"], "nothing"),
     ] {
-        let Ended { exit_code, text } = run(&arguments);
+        let CommandOutput { exit_code, text } = run(&arguments);
         assert_eq!(exit_code, 2, "{arguments:?}: {text}");
         assert!(text.contains(expected), "{arguments:?}: {text}");
     }
 }
 
 #[test]
-fn a_passing_fleet_exits_with_0_and_a_failed_check_with_1() {
+fn exit_code_is_0_if_all_checks_pass_and_1_if_a_check_fails() {
     let run_with = |options: &[&'static str]| run(&[&SMALL_FLEET[..], options].concat());
-    let Ended { exit_code, text } = run_with(&["--rate", "20", "--secs", "6"]);
+    let CommandOutput { exit_code, text } = run_with(&["--rate", "20", "--secs", "6"]);
     assert_eq!(exit_code, 0, "{text}");
     assert!(text.contains("| 3 x 40 | calm |"), "{text}");
-    // Many more requests than 40 backends can serve.
-    let Ended { exit_code, text } = run_with(&["--rate", "700", "--secs", "6"]);
+    // The rate is much higher than 40 backends can serve, so the check of served requests fails.
+    let CommandOutput { exit_code, text } = run_with(&["--rate", "700", "--secs", "6"]);
     assert_eq!(exit_code, 1, "{text}");
     assert!(
         text.contains("check failed: calm, 3 x 40: fraction of requests that were served"),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_json_file_is_identical_for_any_number_of_threads() {
+fn json_file_is_identical_for_any_number_of_threads() {
     let write = |name: &str, threads: &str| {
         let file = std::env::temp_dir().join(format!(
             "brookstack-fleet-simulator-test-{}-{name}",
@@ -103,7 +103,7 @@
             "--json",
             &path,
         ];
-        let Ended { exit_code, text } = run(&[&SMALL_FLEET[..], &options].concat());
+        let CommandOutput { exit_code, text } = run(&[&SMALL_FLEET[..], &options].concat());
         assert_eq!(exit_code, 0, "{text}");
         let bytes = std::fs::read(&file).expect("the file was written");
         std::fs::remove_file(&file).expect("the file can be removed");
