--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -1,4 +1,5 @@
-//! The statistics behind the figures, and the checks of figures that only a faulty proxy produces.
+//! Tests of the statistics functions, the deployment topology, and the checks that only a faulty
+//! proxy fails.
 
 use brookstack_fleet_simulator::simulated::checks::checks;
 use brookstack_fleet_simulator::simulated::load::{largest_by_chance, CountRange};
@@ -9,8 +10,9 @@
 
 #[test]
 fn the_expected_maximum_load_matches_poisson_tables() {
-    // The median of a single Poisson number of mean 100 is about its mean. The largest of 10,000
-    // such numbers is about 4 standard deviations, each a tenth of the mean, above it.
+    // The median of a single Poisson variable of mean 100 is about its mean. The largest of 10,000
+    // such variables is about 4 standard deviations above the mean, and a standard deviation is a
+    // tenth of the mean.
     assert!((largest_by_chance(100.0, 1) - 1.0).abs() < 0.06);
     assert!(
         (1.36..1.44).contains(&largest_by_chance(100.0, 10_000)),
@@ -22,7 +24,7 @@
 }
 
 #[test]
-fn the_range_of_no_counts_is_zero() {
+fn count_range_has_minimum_mean_and_maximum_and_is_zero_without_counts() {
     assert_eq!(
         CountRange::of([].into_iter()),
         CountRange {
@@ -42,7 +44,7 @@
 }
 
 #[test]
-fn the_simulated_world_has_the_shape_of_the_target_deployment() {
+fn names_are_unique_and_zones_machine_types_and_groups_have_the_target_sizes() {
     let names: BTreeSet<String> = (0..17_000).map(backend_name).collect();
     assert_eq!(names.len(), 17_000);
     for zone in 0..ZONES.len() {
@@ -69,10 +71,10 @@
     assert!(group.iter().all(|p| p.zone == group[0].zone));
 }
 
-/// The balancer does not lose requests, nor use backends that it knows to be draining. So this test
-/// alters the figures of a run.
+/// No injected fault makes a correct balancer lose requests or use backends that it knows to be
+/// draining. This test therefore alters the results of a run.
 #[test]
-fn figures_that_show_a_fault_of_the_proxy_fail_their_check() {
+fn late_attempts_and_miscounted_requests_fail_their_checks() {
     let setup = Setup {
         scenario: Scenario::Calm,
         proxies: 3,
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! A small fleet. Its figures depend only on its setup, and each check fails in a world with the
-//! fault that it is to find.
+//! Tests with a small simulated fleet: its results depend only on its setup, and each check fails
+//! if the fault that it has to detect is injected.
 
 use brookstack_fleet_simulator::simulated::figures::{Check, Figures};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
 
-/// 30 proxies and 200 backends in the scenario `calm`.
+/// A setup with 30 proxies and 200 backends in the scenario `calm`.
 fn calm() -> Setup {
     Setup {
         scenario: Scenario::Calm,
@@ -30,7 +30,7 @@
         .figures
 }
 
-/// The names of the checks that failed.
+/// The names of the failed checks.
 fn failed_checks(figures: &Figures) -> Vec<&'static str> {
     figures
         .checks
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn the_same_seed_gives_identical_figures_on_any_number_of_threads() {
+fn results_depend_on_the_seed_but_not_on_the_number_of_threads() {
     let first = run(&calm(), 1);
     assert!(
         first.requests.served > 5_000 && first.discovery.changes >= 9,
-        "too little happened: {first:?}"
+        "too few requests or changes: {first:?}"
     );
     let first = json(&first);
     assert_eq!(first, json(&run(&calm(), 1)), "a second run");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn backends_that_are_too_slow_fail_the_check_of_served_requests() {
+fn slow_backends_fail_the_check_of_served_requests() {
     let faults = FaultInjection {
         slowdown: 40.0,
         ..FaultInjection::default()
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn overloaded_warming_backends_fail_the_check_of_cold_starts() {
+fn overload_of_warming_backends_fails_the_check_of_slow_start() {
     let faults = FaultInjection {
         fragility: 0.02,
         ..FaultInjection::default()
@@ -120,8 +120,8 @@
 }
 
 #[test]
-fn changes_that_never_reach_the_proxies_fail_the_notification_checks() {
-    // Backends that begin to drain in this scenario never return.
+fn changes_that_never_reach_the_proxies_fail_the_notification_and_late_attempt_checks() {
+    // Backends that start to drain in this scenario never return, so attempts on them stay late.
     let faults = FaultInjection {
         unresponsive_discovery: true,
         ..FaultInjection::default()
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn an_uneven_load_fails_the_check_of_the_spread() {
+fn uneven_load_fails_the_check_of_excess_spread() {
     let faults = FaultInjection {
         hidden_percent: 20,
         ..FaultInjection::default()
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report of the real proxy's cells: failed checks, disturbed cells and tables.
+//! Tests of the report on the real proxy's cells: failed checks, disturbed cells, tables and JSON.
 
 use brookstack_fleet_simulator::deployment::DiscoveryMode;
 use brookstack_fleet_simulator::real::cell::{
@@ -8,7 +8,7 @@
 use brookstack_fleet_simulator::real::stall::Stall;
 use brookstack_fleet_simulator::report::{disturbed_cells, failed_cells, real_table, Table};
 
-/// A cell that passes all checks.
+/// A cell that passes all checks and is not disturbed.
 fn passing_cell() -> Cell {
     let stall = Stall {
         median_ms: 1.0,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_cell_fails_when_it_is_ready_late_or_requests_get_no_response() {
+fn late_readiness_and_requests_without_response_fail_the_checks_of_a_cell() {
     assert_eq!(failed_cells(&[passing_cell()]), Vec::<String>::new());
     let late = Cell {
         ready_secs: 10.5,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_cell_measured_on_a_busy_machine_is_named() {
+fn a_cell_with_a_long_cpu_wait_is_listed_as_disturbed() {
     assert_eq!(disturbed_cells(&[passing_cell()]), Vec::<String>::new());
     let mut busy = passing_cell();
     busy.cpu.cpu_wait_percent = [0.0, 2.5, 0.0];
@@ -114,23 +114,24 @@
 }
 
 #[test]
-fn a_table_is_markdown() {
+fn a_table_is_formatted_as_markdown() {
     let mut table = Table::new(&["a", "b"]);
     table.row(vec!["1".into(), "2".into()]);
     assert_eq!(table.to_string(), "| a | b |\n| --- | --- |\n| 1 | 2 |\n");
 }
 
-/// The texts between the bars of one line of a table.
-fn texts(line: &str) -> Vec<&str> {
+/// The cells of one line of a markdown table.
+fn table_cells(line: &str) -> Vec<&str> {
     line.trim_matches(['|', ' ']).split(" | ").collect()
 }
 
 #[test]
-fn the_table_of_cells_shows_each_figure_under_its_title() {
+fn the_table_of_cells_shows_each_measurement_under_its_title() {
     let table = real_table(&[passing_cell()]).to_string();
     let lines: Vec<&str> = table.lines().collect();
     assert_eq!(lines.len(), 3);
-    let columns: Vec<_> = texts(lines[0]).into_iter().zip(texts(lines[2])).collect();
+    let titles = table_cells(lines[0]).into_iter();
+    let columns: Vec<_> = titles.zip(table_cells(lines[2])).collect();
     let expected = [
         ("backends", "200"),
         ("tenants", "7"),
--- a/crates/fleet-simulator/tests/stand_ins.rs
+++ b/crates/fleet-simulator/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for discovery, backends and clients, without a proxy between them.
+//! Tests of the stand-ins for discovery, backends and clients, without a proxy between them.
 
 use brookstack_fleet_simulator::real::backends::{Backends, Stamp};
 use brookstack_fleet_simulator::real::client::RoundTrip;
@@ -13,11 +13,11 @@
 /// A response of discovery.
 struct Response {
     body: Value,
-    /// The bytes of the whole response, its head included.
+    /// The length of the response in bytes, including its head.
     bytes: u64,
 }
 
-/// Calls discovery on a connection of its own.
+/// Calls discovery on a new connection.
 fn call(to: SocketAddr, path: &str) -> Response {
     let mut stream = TcpStream::connect(to).expect("discovery listens");
     write!(
@@ -28,11 +28,14 @@
     let mut stream = BufReader::new(stream);
     let head = read_head(&mut stream);
     let mut body = vec![0; head.content_length];
-    stream.read_exact(&mut body).expect("a whole body");
-    // The stand-in counts the bytes before it closes the connection, but maybe after the client has
-    // received them. So the counts are complete once the connection has ended.
+    stream.read_exact(&mut body).expect("the complete body");
+    // The stand-in counts the bytes before it closes the connection, but possibly after the client
+    // has received them. The counts are therefore complete only when the connection has been
+    // closed.
     let mut surplus = Vec::new();
-    stream.read_to_end(&mut surplus).expect("the end");
+    stream
+        .read_to_end(&mut surplus)
+        .expect("the end of the stream");
     assert!(surplus.is_empty(), "{surplus:?} after the response");
     Response {
         body: serde_json::from_slice(&body).expect("JSON"),
@@ -43,9 +46,9 @@
 /// The head of a response.
 #[derive(Default)]
 struct Head {
-    /// Its own length.
+    /// The length of the head in bytes.
     bytes: usize,
-    /// The length of the body.
+    /// The length of the body in bytes.
     content_length: usize,
 }
 
@@ -78,7 +81,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn discovery_serves_the_whole_list_and_counts_its_bytes() {
+async fn discovery_serves_the_complete_list_and_counts_its_bytes() {
     let discovery = discovery_with_three_endpoints().await;
     let Response { body, bytes } = get(&discovery, "/api/targets").await;
     assert_eq!(body["snapshot"], true);
@@ -89,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_watch_without_a_change_gets_an_empty_response_after_its_wait() {
+async fn a_watch_without_a_change_gets_an_empty_response_when_its_wait_ends() {
     let discovery = discovery_with_three_endpoints().await;
     let sent_at = Instant::now();
     let response = get(&discovery, "/api/targets?after=1&wait_ms=200").await;
@@ -125,7 +128,7 @@
     let backends = Backends::start(1, service_time).await.expect("started");
     let mut load = Load::new(backends.address(7), 100.0, 0, 3).expect("a rate");
     let observations = load.run(Duration::from_secs(2)).await;
-    // Requests of the last moments have no response yet.
+    // Requests that were sent shortly before the end have no response yet.
     let answered = observations.added_latency.len();
     assert!((140..=270).contains(&answered), "{answered} responses");
     assert_eq!(observations.not_served, NotServed::default());
@@ -138,14 +141,14 @@
     let median = Duration::from_micros(observations.added_latency.value_at_quantile(0.5));
     assert!(
         median < service_time / 2,
-        "{median:?} beside a service time of {service_time:?}"
+        "median added latency of {median:?} with a service time of {service_time:?}"
     );
     assert_eq!(observations.before_backend.len(), answered);
     assert_eq!(observations.after_backend.len(), answered);
 }
 
 #[test]
-fn a_stamp_is_parsed_as_written_and_other_bodies_are_not() {
+fn a_written_stamp_is_parsed_and_other_bodies_are_rejected() {
     let stamp = Stamp {
         received_at: Duration::from_micros(1_234_567),
         service_time: Duration::from_micros(5_021),
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn a_stall_is_the_longest_probe_around_an_event() {
+fn a_stall_is_computed_from_the_longest_round_trip_around_each_event() {
     let start = Instant::now();
     let ms = Duration::from_millis;
     let round_trip = |at: u64, took: u64| RoundTrip {
