--- a/crates/fleet-simulator/src/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
-    /// From an agent on the proxy's machine, which holds the list.
+    /// From an agent that runs beside the proxy and holds the list.
     Automatic,
     /// From a central service, which the proxy polls and watches.
     Subscribe,
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -151,35 +151,35 @@
 }
 
 fn cold_starts(run: &FleetRun) -> String {
-    let figures = &run.figures.cold_starts;
+    let statistics = &run.figures.cold_starts;
     format!(
         "{}, {} ({:.1}), {:.2}, {}",
-        figures.backends,
-        figures.worst_window_attempts,
-        figures.worst_window_budget,
-        figures.worst_fraction_of_bound,
-        figures.attempts_over_bound
+        statistics.backends,
+        statistics.worst_window_attempts,
+        statistics.worst_window_budget,
+        statistics.worst_fraction_of_bound,
+        statistics.attempts_over_bound
     )
 }
 
 fn discovery_calls(run: &FleetRun) -> String {
-    let figures = &run.figures.discovery;
+    let statistics = &run.figures.discovery;
     format!(
         "{}, {}, {}, {}",
-        figures.changes, figures.calls, figures.calls_refused, figures.calls_timed_out
+        statistics.changes, statistics.calls, statistics.calls_refused, statistics.calls_timed_out
     )
 }
 
 fn notification_delay(run: &FleetRun) -> String {
-    let figures = &run.figures.discovery.propagation;
+    let statistics = &run.figures.discovery.propagation;
     let secs = |ms: f64| ms / 1000.0;
     format!(
         "{:.3} / {:.2} / {:.2}; {} of {}",
-        secs(figures.delay_p50_ms),
-        secs(figures.delay_p99_ms),
-        secs(figures.delay_max_ms),
-        figures.after_deadline,
-        figures.pairs
+        secs(statistics.delay_p50_ms),
+        secs(statistics.delay_p99_ms),
+        secs(statistics.delay_max_ms),
+        statistics.after_deadline,
+        statistics.pairs
     )
 }
 
--- a/crates/fleet-simulator/src/simulated/backends.rs
+++ b/crates/fleet-simulator/src/simulated/backends.rs
@@ -1,7 +1,7 @@
 //! The simulated backends: how they serve attempts, and the outcomes of those attempts.
 
 use super::backend::{Backend, CORES};
-use super::cold_start::{ColdStartFigures, ColdStartMonitor};
+use super::cold_start::{ColdStartMonitor, ColdStartStatistics};
 use super::messages::{AttemptKey, AttemptResult};
 use crate::world::{self, MACHINE_TYPES};
 use brookstack_balancer::{BackendState, Endpoint, Micros, Outcome, Time};
@@ -185,7 +185,7 @@
     }
 
     /// Statistics of the load on backends that were warming up.
-    pub fn cold_starts(&self) -> ColdStartFigures {
-        self.cold_starts.figures()
+    pub fn cold_starts(&self) -> ColdStartStatistics {
+        self.cold_starts.statistics()
     }
 }
--- a/crates/fleet-simulator/src/simulated/cold_start.rs
+++ b/crates/fleet-simulator/src/simulated/cold_start.rs
@@ -14,7 +14,7 @@
 /// `N + 2 * sqrt(N) + 2`: two standard deviations of a Poisson variable above the budget, and 2
 /// more for small budgets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ColdStartFigures {
+pub struct ColdStartStatistics {
     /// The number of backends that received attempts while they were warming up.
     pub backends: usize,
     /// The number of attempts that exceeded the bound of their window.
@@ -37,7 +37,7 @@
     /// An injected fault: such backends tolerate only this fraction of the load that the settings
     /// allow. 1 means no fault.
     fragility: f64,
-    figures: ColdStartFigures,
+    statistics: ColdStartStatistics,
     /// For each backend, whether it received an attempt while it was warming up.
     seen: Vec<bool>,
 }
@@ -47,7 +47,7 @@
     pub fn new(backends: usize, fragility: f64) -> ColdStartMonitor {
         ColdStartMonitor {
             fragility,
-            figures: ColdStartFigures::default(),
+            statistics: ColdStartStatistics::default(),
             seen: vec![false; backends],
         }
     }
@@ -62,7 +62,7 @@
         let seen = &mut self.seen[number as usize];
         if !*seen {
             *seen = true;
-            self.figures.backends += 1;
+            self.statistics.backends += 1;
         }
         let recent = &mut backend.recent_attempts;
         recent.retain(|at| now - *at < Micros(OVERLOAD_WINDOW_MICROS));
@@ -71,11 +71,11 @@
         let budget = self.budget(backend.machine_type, warmup_fraction);
         let bound = budget + 2.0 * budget.sqrt() + 2.0;
         let fraction = attempts as f64 / bound;
-        self.figures.attempts_over_bound += u64::from(fraction > 1.0);
-        if fraction > self.figures.worst_fraction_of_bound {
-            self.figures.worst_fraction_of_bound = fraction;
-            self.figures.worst_window_attempts = attempts;
-            self.figures.worst_window_budget = budget;
+        self.statistics.attempts_over_bound += u64::from(fraction > 1.0);
+        if fraction > self.statistics.worst_fraction_of_bound {
+            self.statistics.worst_fraction_of_bound = fraction;
+            self.statistics.worst_window_attempts = attempts;
+            self.statistics.worst_window_budget = budget;
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// The statistics so far.
-    pub fn figures(&self) -> ColdStartFigures {
-        self.figures
+    pub fn statistics(&self) -> ColdStartStatistics {
+        self.statistics
     }
 }
--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -2,7 +2,7 @@
 //! other, and may have an outage.
 
 use super::messages::Delivery;
-use super::propagation::{ChangeLog, PropagationFigures};
+use super::propagation::{ChangeLog, PropagationStatistics};
 use super::timeline::{BackendChange, Outage};
 use brookstack_balancer::{Endpoint, EndpointUpdate, Micros, Time};
 use serde::Serialize;
@@ -16,7 +16,7 @@
 
 /// Statistics of discovery and of the propagation of changes to the proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct DiscoveryFigures {
+pub struct DiscoveryStatistics {
     /// The number of changes.
     pub changes: usize,
     /// The number of calls by proxies.
@@ -32,7 +32,7 @@
     pub watches_broken: u64,
     /// How long changes took to reach the proxies.
     #[serde(flatten)]
-    pub propagation: PropagationFigures,
+    pub propagation: PropagationStatistics,
 }
 
 /// The watch and the queued call of one proxy.
@@ -207,14 +207,14 @@
     }
 
     /// The statistics at the end of the run.
-    pub fn figures(&self, end: Time) -> DiscoveryFigures {
-        DiscoveryFigures {
+    pub fn statistics(&self, end: Time) -> DiscoveryStatistics {
+        DiscoveryStatistics {
             changes: self.changes.count(),
             calls: self.counts.calls,
             calls_refused: self.counts.refused,
             calls_timed_out: self.counts.timed_out,
             watches_broken: self.counts.watches_broken,
-            propagation: self.changes.figures(end),
+            propagation: self.changes.statistics(end),
         }
     }
 }
--- a/crates/fleet-simulator/src/simulated/figures.rs
+++ b/crates/fleet-simulator/src/simulated/figures.rs
@@ -1,8 +1,8 @@
 //! The results of the run of a fleet.
 
 use super::backends::OutcomeCounts;
-use super::cold_start::ColdStartFigures;
-use super::discovery::DiscoveryFigures;
+use super::cold_start::ColdStartStatistics;
+use super::discovery::DiscoveryStatistics;
 use super::load::Load;
 use super::proxy::RequestCounts;
 use super::setup::Setup;
@@ -84,10 +84,10 @@
     pub load: Load,
     /// The load on backends that were warming up.
     #[serde(rename = "cold")]
-    pub cold_starts: ColdStartFigures,
+    pub cold_starts: ColdStartStatistics,
     /// Calls to discovery, and how long changes took to reach the proxies.
     #[serde(rename = "told")]
-    pub discovery: DiscoveryFigures,
+    pub discovery: DiscoveryStatistics,
     /// Attempts on backends that take no new requests, sent by proxies that should have known it.
     #[serde(rename = "late")]
     pub late_attempts: LateAttempts,
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -213,7 +213,7 @@
             outcomes: self.backends.outcomes,
             load: self.load(),
             cold_starts: self.backends.cold_starts(),
-            discovery: self.discovery.figures(self.shared.window.end),
+            discovery: self.discovery.statistics(self.shared.window.end),
             late_attempts: self.recorder.late_attempts,
             checks: Vec::new(),
             setup: self.setup,
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -77,7 +77,7 @@
 /// The delay of a pair starts when discovery has the change and the process of the proxy can reach
 /// discovery. It ends when the proxy is notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct PropagationFigures {
+pub struct PropagationStatistics {
     /// The median delay, ms.
     pub delay_p50_ms: f64,
     /// The 99th percentile of the delay, ms.
@@ -222,14 +222,14 @@
     }
 
     /// The statistics at the end of the run.
-    pub fn figures(&self, end: Time) -> PropagationFigures {
+    pub fn statistics(&self, end: Time) -> PropagationStatistics {
         let pending = self.pending_delays(end);
         let is_late = |delay: &&Micros| **delay > NOTIFICATION_DEADLINE;
         let pending_after_deadline = pending.iter().filter(is_late).count() as u64;
         let longest_pending = pending.iter().copied().max().unwrap_or(Micros(0));
         let longest = longest_pending.max(self.longest_notified_delay());
         let not_notified = pending.len() as u64;
-        PropagationFigures {
+        PropagationStatistics {
             delay_p50_ms: quantile_ms(&self.delays, 0.5),
             delay_p99_ms: quantile_ms(&self.delays, 0.99),
             delay_max_ms: millis(longest.0),
