--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -3,7 +3,7 @@
 use brookstack_fleet_simulator::args::{AllArgs, Cli, Command, FleetArgs, RealArgs, SoakArgs};
 use brookstack_fleet_simulator::failure::Failure;
 use brookstack_fleet_simulator::real::cell::Cell;
-use brookstack_fleet_simulator::simulated::figures::Figures;
+use brookstack_fleet_simulator::simulated::figures::FleetResults;
 use brookstack_fleet_simulator::simulated::{self, Cost, FleetRun};
 use brookstack_fleet_simulator::soak::{self, SoakSetup};
 use brookstack_fleet_simulator::{real, report};
@@ -39,15 +39,15 @@
     let cells = real::run_all(setups, args.jobs)?;
     print!("{}", report::real_table(&cells));
     print_disturbed_cells(&cells);
-    write_figures(args.json.as_deref(), &cells)?;
+    write_results(args.json.as_deref(), &cells)?;
     report_failed_checks(&report::failed_cells(&cells))
 }
 
 fn run_fleet(args: &FleetArgs) -> Result<(), Failure> {
     let runs = run_scenarios(args)?;
     print!("{}", report::fleet_table(&runs));
-    let figures: Vec<&Figures> = runs.iter().map(|run| &run.figures).collect();
-    write_figures(args.json.as_deref(), &figures)?;
+    let results: Vec<&FleetResults> = runs.iter().map(|run| &run.results).collect();
+    write_results(args.json.as_deref(), &results)?;
     report_failed_checks(&report::failed_fleets(&runs))
 }
 
@@ -68,10 +68,10 @@
         "Simulated proxies on a simulated clock:\n\n{}",
         report::fleet_table(&runs)
     );
-    let fleets: Vec<&Figures> = runs.iter().map(|run| &run.figures).collect();
+    let fleets: Vec<&FleetResults> = runs.iter().map(|run| &run.results).collect();
     let costs: Vec<&Cost> = runs.iter().map(|run| &run.cost).collect();
-    let figures = serde_json::json!({"real": cells, "fleets": fleets, "costs": costs});
-    write_figures(args.json.as_deref(), &figures)?;
+    let results = serde_json::json!({"real": cells, "fleets": fleets, "costs": costs});
+    write_results(args.json.as_deref(), &results)?;
     let failed_cells = report::failed_cells(&cells);
     let failed_fleets = report::failed_fleets(&runs);
     report_failed_checks(&[failed_cells, failed_fleets].concat())
@@ -86,7 +86,7 @@
         jobs: args.jobs,
     };
     let runs = soak::run(&setup, &|run| print!("{run}"))?;
-    write_figures(args.json.as_deref(), &runs)?;
+    write_results(args.json.as_deref(), &runs)?;
     let failed = runs.iter().filter(|run| !run.violations.is_empty());
     let failed: Vec<String> = failed
         .map(|run| format!("seed {}: {}", run.plan.seed, run.command()))
@@ -118,9 +118,9 @@
     }
 }
 
-fn write_figures(path: Option<&Path>, figures: &impl Serialize) -> Result<(), Failure> {
+fn write_results(path: Option<&Path>, results: &impl Serialize) -> Result<(), Failure> {
     match path {
-        Some(path) => report::write_json(path, figures),
+        Some(path) => report::write_json(path, results),
         None => Ok(()),
     }
 }
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -3,7 +3,7 @@
 
 use super::real_table::cpu_wait;
 use crate::real::cell::Cell;
-use crate::simulated::figures::Figures;
+use crate::simulated::figures::FleetResults;
 use crate::simulated::FleetRun;
 
 /// The time within which a restarted proxy has to be ready, s.
@@ -57,14 +57,14 @@
 /// The failed checks of the fleets, one line each.
 pub fn failed_fleets(runs: &[FleetRun]) -> Vec<String> {
     runs.iter()
-        .flat_map(|run| failed_fleet_checks(&run.figures))
+        .flat_map(|run| failed_fleet_checks(&run.results))
         .collect()
 }
 
-fn failed_fleet_checks(figures: &Figures) -> impl Iterator<Item = String> + '_ {
-    let setup = &figures.setup;
+fn failed_fleet_checks(results: &FleetResults) -> impl Iterator<Item = String> + '_ {
+    let setup = &results.setup;
     let scenario = setup.scenario.name();
-    let failed = figures.checks.iter().filter(|check| !check.passed);
+    let failed = results.checks.iter().filter(|check| !check.passed);
     failed.map(move |check| {
         format!(
             "{scenario}, {} x {}: {}: {} against {}",
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -11,7 +11,7 @@
     },
     Column {
         title: "scenario",
-        cell: |run| run.figures.setup.scenario.name(),
+        cell: |run| run.results.setup.scenario.name(),
     },
     Column {
         title: "requests (per second and proxy)",
@@ -19,7 +19,7 @@
     },
     Column {
         title: "served, %",
-        cell: |run| format!("{:.2}", 100.0 * run.figures.served_fraction()),
+        cell: |run| format!("{:.2}", 100.0 * run.results.served_fraction()),
     },
     Column {
         title: "rejected / failed / unanswered / interrupted",
@@ -35,23 +35,23 @@
     },
     Column {
         title: "max / mean load within a machine type (by chance)",
-        cell: |run| largest_load(&run.figures.load),
+        cell: |run| largest_load(&run.results.load),
     },
     Column {
         title: "excess spread of load within a machine type, % of the mean",
-        cell: |run| excess_spread(&run.figures.load),
+        cell: |run| excess_spread(&run.results.load),
     },
     Column {
         title: "backends used per proxy (min, mean, max)",
-        cell: |run| count_range(&run.figures.load.backends_per_proxy),
+        cell: |run| count_range(&run.results.load.backends_per_proxy),
     },
     Column {
         title: "proxies per backend (min, mean, max)",
-        cell: |run| count_range(&run.figures.load.proxies_per_backend),
+        cell: |run| count_range(&run.results.load.proxies_per_backend),
     },
     Column {
         title: "new connections per attempt (1st, 2nd half)",
-        cell: |run| new_connections(&run.figures.load),
+        cell: |run| new_connections(&run.results.load),
     },
     Column {
         title:
@@ -86,18 +86,18 @@
 }
 
 fn size(run: &FleetRun) -> String {
-    let setup = &run.figures.setup;
+    let setup = &run.results.setup;
     format!("{} x {}", setup.proxies, setup.backends)
 }
 
 fn arrived_requests(run: &FleetRun) -> String {
-    let arrived = run.figures.requests.arrived;
-    let per_second = run.figures.setup.requests_per_second;
+    let arrived = run.results.requests.arrived;
+    let per_second = run.results.setup.requests_per_second;
     format!("{arrived} ({per_second:.1})")
 }
 
 fn requests_not_served(run: &FleetRun) -> String {
-    let counts = &run.figures.requests;
+    let counts = &run.results.requests;
     format!(
         "{} / {} / {} / {}",
         counts.rejected, counts.failed, counts.unanswered, counts.interrupted
@@ -105,18 +105,18 @@
 }
 
 fn latency(run: &FleetRun) -> String {
-    let figures = &run.figures;
+    let results = &run.results;
     format!(
         "{:.0} / {:.0}",
-        figures.latency_p50_ms, figures.latency_p99_ms
+        results.latency_p50_ms, results.latency_p99_ms
     )
 }
 
 fn queue_delay(run: &FleetRun) -> String {
-    let figures = &run.figures;
+    let results = &run.results;
     format!(
         "{:.1} / {:.1}",
-        figures.queue_delay_p50_ms, figures.queue_delay_p99_ms
+        results.queue_delay_p50_ms, results.queue_delay_p99_ms
     )
 }
 
@@ -151,7 +151,7 @@
 }
 
 fn cold_starts(run: &FleetRun) -> String {
-    let statistics = &run.figures.cold_starts;
+    let statistics = &run.results.cold_starts;
     format!(
         "{}, {} ({:.1}), {:.2}, {}",
         statistics.backends,
@@ -163,7 +163,7 @@
 }
 
 fn discovery_calls(run: &FleetRun) -> String {
-    let statistics = &run.figures.discovery;
+    let statistics = &run.results.discovery;
     format!(
         "{}, {}, {}, {}",
         statistics.changes, statistics.calls, statistics.calls_refused, statistics.calls_timed_out
@@ -171,7 +171,7 @@
 }
 
 fn notification_delay(run: &FleetRun) -> String {
-    let statistics = &run.figures.discovery.propagation;
+    let statistics = &run.results.discovery.propagation;
     let secs = |ms: f64| ms / 1000.0;
     format!(
         "{:.3} / {:.2} / {:.2}; {} of {}",
@@ -184,7 +184,7 @@
 }
 
 fn late_attempts(run: &FleetRun) -> String {
-    let late = &run.figures.late_attempts;
+    let late = &run.results.late_attempts;
     format!("{}, {}", late.after_notification, late.after_deadline)
 }
 
--- a/crates/fleet-simulator/src/simulated/figures.rs
+++ b/crates/fleet-simulator/src/simulated/figures.rs
@@ -60,7 +60,7 @@
 
 /// The results of a run. The same setup gives the same results on any number of threads.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figures {
+pub struct FleetResults {
     /// The setup of the run.
     pub setup: Setup,
     /// The number of requests by outcome.
@@ -95,7 +95,7 @@
     pub checks: Vec<Check>,
 }
 
-impl Figures {
+impl FleetResults {
     /// The fraction of the requests that were served. Requests that are still open, or that were
     /// interrupted by a restart of their proxy, are not counted.
     pub fn served_fraction(&self) -> f64 {
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -9,7 +9,7 @@
 use super::checks;
 use super::context::SharedContext;
 use super::discovery::Discovery;
-use super::figures::Figures;
+use super::figures::FleetResults;
 use super::load::Load;
 use super::messages::{AttemptKey, Delivery, ProxyOutput};
 use super::proxy::{Proxy, RequestCounts};
@@ -200,10 +200,10 @@
     }
 
     /// Collects the results of the run and checks them.
-    pub fn into_figures(self) -> Figures {
+    pub fn into_results(self) -> FleetResults {
         let latencies = &self.recorder.latencies;
         let queue_delays = &self.recorder.queue_delays;
-        let mut figures = Figures {
+        let mut results = FleetResults {
             requests: self.request_counts(),
             open_at_end: self.proxies.iter().map(Proxy::unanswered).sum(),
             latency_p50_ms: quantile_ms(latencies, 0.5),
@@ -218,8 +218,8 @@
             checks: Vec::new(),
             setup: self.setup,
         };
-        figures.checks = checks::checks(&figures);
-        figures
+        results.checks = checks::checks(&results);
+        results
     }
 
     /// The number of requests by outcome, over all proxies.
--- a/crates/fleet-simulator/src/simulated/mod.rs
+++ b/crates/fleet-simulator/src/simulated/mod.rs
@@ -41,7 +41,7 @@
 pub mod timeline;
 
 use crate::failure::Failure;
-use figures::Figures;
+use figures::FleetResults;
 use fleet::Fleet;
 use serde::Serialize;
 pub use setup::{FaultInjection, Setup, WARM_UP_SECS};
@@ -66,7 +66,7 @@
 /// The results and the cost of a run.
 pub struct FleetRun {
     /// The results.
-    pub figures: Figures,
+    pub results: FleetResults,
     /// The time and memory that the run took.
     pub cost: Cost,
 }
@@ -92,7 +92,7 @@
         kb_per_proxy: is_first_run.then_some(kb_per_proxy),
     };
     Ok(FleetRun {
-        figures: fleet.into_figures(),
+        results: fleet.into_results(),
         cost,
     })
 }
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -90,21 +90,21 @@
         seed: 1,
         faults: FaultInjection::default(),
     };
-    let mut figures = simulated::run(&setup, 1).expect("a valid setup").figures;
-    let failed = |figures: &simulated::figures::Figures| -> Vec<&'static str> {
-        checks(figures)
+    let mut results = simulated::run(&setup, 1).expect("a valid setup").results;
+    let failed = |results: &simulated::figures::FleetResults| -> Vec<&'static str> {
+        checks(results)
             .iter()
             .filter(|check| !check.passed)
             .map(|check| check.name)
             .collect()
     };
-    assert_eq!(failed(&figures), Vec::<&str>::new());
-    figures.late_attempts.after_notification = 1;
+    assert_eq!(failed(&results), Vec::<&str>::new());
+    results.late_attempts.after_notification = 1;
     assert_eq!(
-        failed(&figures),
+        failed(&results),
         ["attempts on unavailable backends later than 0.5 s after notification"]
     );
-    figures.late_attempts.after_notification = 0;
-    figures.requests.rejected += 1;
-    assert_eq!(failed(&figures), ["requests without exactly one outcome"]);
+    results.late_attempts.after_notification = 0;
+    results.requests.rejected += 1;
+    assert_eq!(failed(&results), ["requests without exactly one outcome"]);
 }
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Tests with a small simulated fleet: its results depend only on its setup, and each check fails
 //! if the fault that it has to detect is injected.
 
-use brookstack_fleet_simulator::simulated::figures::{Check, Figures};
+use brookstack_fleet_simulator::simulated::figures::{Check, FleetResults};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
 
@@ -24,15 +24,15 @@
     }
 }
 
-fn run(setup: &Setup, threads: usize) -> Figures {
+fn run(setup: &Setup, threads: usize) -> FleetResults {
     simulated::run(setup, threads)
         .expect("a valid setup")
-        .figures
+        .results
 }
 
 /// The names of the failed checks.
-fn failed_checks(figures: &Figures) -> Vec<&'static str> {
-    figures
+fn failed_checks(results: &FleetResults) -> Vec<&'static str> {
+    results
         .checks
         .iter()
         .filter(|check: &&Check| !check.passed)
@@ -40,8 +40,8 @@
         .collect()
 }
 
-fn json(figures: &Figures) -> String {
-    serde_json::to_string(figures).expect("JSON")
+fn json(results: &FleetResults) -> String {
+    serde_json::to_string(results).expect("JSON")
 }
 
 #[test]
@@ -60,14 +60,14 @@
 
 #[test]
 fn a_fleet_without_faults_passes_all_checks() {
-    let figures = run(&calm(), 3);
+    let results = run(&calm(), 3);
     assert_eq!(
-        failed_checks(&figures),
+        failed_checks(&results),
         Vec::<&str>::new(),
         "{:?}",
-        figures.checks
+        results.checks
     );
-    assert_eq!(figures.checks.len(), 7);
+    assert_eq!(results.checks.len(), 7);
 }
 
 #[test]
@@ -76,11 +76,11 @@
         slowdown: 40.0,
         ..FaultInjection::default()
     };
-    let figures = run(&Setup { faults, ..calm() }, 3);
+    let results = run(&Setup { faults, ..calm() }, 3);
     assert!(
-        failed_checks(&figures).contains(&"fraction of requests that were served"),
+        failed_checks(&results).contains(&"fraction of requests that were served"),
         "{:?}",
-        figures.checks
+        results.checks
     );
 }
 
@@ -97,13 +97,13 @@
         faults,
         ..calm()
     };
-    let figures = run(&cold, 3);
-    assert_eq!(figures.cold_starts.backends, 4);
+    let results = run(&cold, 3);
+    assert_eq!(results.cold_starts.backends, 4);
     let name = "attempts on backends in slow start beyond their bound";
     assert!(
-        failed_checks(&figures).contains(&name),
+        failed_checks(&results).contains(&name),
         "{:?}",
-        figures.checks
+        results.checks
     );
     let without_fault = run(
         &Setup {
@@ -126,7 +126,7 @@
         unresponsive_discovery: true,
         ..FaultInjection::default()
     };
-    let figures = run(
+    let results = run(
         &Setup {
             scenario: Scenario::Outage,
             duration_secs: 40.0,
@@ -135,14 +135,14 @@
         },
         3,
     );
-    let failed = failed_checks(&figures);
+    let failed = failed_checks(&results);
     for name in [
         "notifications later than the deadline of 6 s",
         "attempts on unavailable backends later than 0.5 s after the notification deadline",
     ] {
-        assert!(failed.contains(&name), "{name}: {:?}", figures.checks);
+        assert!(failed.contains(&name), "{name}: {:?}", results.checks);
     }
-    assert!(figures.discovery.propagation.not_notified > 0);
+    assert!(results.discovery.propagation.not_notified > 0);
 }
 
 #[test]
@@ -151,7 +151,7 @@
         hidden_percent: 20,
         ..FaultInjection::default()
     };
-    let figures = run(
+    let results = run(
         &Setup {
             duration_secs: 14.0,
             faults,
@@ -160,8 +160,8 @@
         3,
     );
     assert!(
-        failed_checks(&figures).contains(&"excess spread of load within a machine type"),
+        failed_checks(&results).contains(&"excess spread of load within a machine type"),
         "{:?}",
-        figures.checks
+        results.checks
     );
 }
