--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -81,9 +81,9 @@
             now = now + STEP;
             let due = std::iter::from_fn(|| upcoming.next_if(|change| change.at <= now));
             let changes: Vec<BackendChange> = due.collect();
-            self.move_world(now, &changes)?;
+            self.advance_environment(now, &changes)?;
             self.tick_proxies(now);
-            self.take_outputs(now);
+            self.process_outputs(now);
         }
         Ok(())
     }
@@ -97,7 +97,11 @@
 
     /// Advances the environment to `now`: applies the changes, delivers the results of attempts and
     /// the messages of discovery, and restarts the proxies if due.
-    fn move_world(&mut self, now: Time, changes: &[BackendChange]) -> Result<(), MeasurementError> {
+    fn advance_environment(
+        &mut self,
+        now: Time,
+        changes: &[BackendChange],
+    ) -> Result<(), MeasurementError> {
         for change in changes {
             self.backends
                 .set(change.backend, change.state, change.started_at);
@@ -156,15 +160,15 @@
     }
 
     /// Processes the outputs of the proxies, in the order of the proxies' numbers.
-    fn take_outputs(&mut self, now: Time) {
+    fn process_outputs(&mut self, now: Time) {
         for number in 0..self.proxies.len() {
             for output in std::mem::take(&mut self.proxies[number].outputs) {
-                self.take_output(now, number as u32, output);
+                self.process_output(now, number as u32, output);
             }
         }
     }
 
-    fn take_output(&mut self, now: Time, proxy: u32, output: ProxyOutput) {
+    fn process_output(&mut self, now: Time, proxy: u32, output: ProxyOutput) {
         match output {
             ProxyOutput::SendAttempt {
                 key,
--- a/crates/fleet-simulator/src/simulated/fleet/first_list.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/first_list.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// Every proxy whose number is a multiple of this gets the complete list.
-const WHOLE_LIST_INTERVAL: u32 = 10;
+const COMPLETE_LIST_INTERVAL: u32 = 10;
 
 /// The endpoint list at the start of a run, in which all backends are ready.
 pub(super) struct FirstList {
@@ -27,7 +27,7 @@
 
     /// The list that a proxy gets, without the backends that are hidden from it.
     pub(super) fn of_proxy(&self, proxy: u32) -> Arc<Vec<Endpoint>> {
-        if self.hidden_percent == 0 || proxy % WHOLE_LIST_INTERVAL == 0 {
+        if self.hidden_percent == 0 || proxy % COMPLETE_LIST_INTERVAL == 0 {
             return self.endpoints.clone();
         }
         let numbered = self.endpoints.iter().enumerate();
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -186,8 +186,8 @@
     }
     // Values of more than 12 standard deviations above the mean have a negligible probability. The
     // constant 24 covers small means.
-    let far_out = (mean + 12.0 * mean.sqrt() + 24.0) as usize;
-    let log_probabilities = poisson_log_probabilities(mean, far_out);
+    let max_value = (mean + 12.0 * mean.sqrt() + 24.0) as usize;
+    let log_probabilities = poisson_log_probabilities(mean, max_value);
     let mut tail = 0.0;
     for (k, log_probability) in log_probabilities.iter().enumerate().rev() {
         tail += log_probability.exp();
@@ -198,12 +198,12 @@
     0.0
 }
 
-/// The natural logarithms of the probabilities of the values 0 to `largest` in a Poisson
+/// The natural logarithms of the probabilities of the values 0 to `max_value` in a Poisson
 /// distribution.
-fn poisson_log_probabilities(mean: f64, largest: usize) -> Vec<f64> {
+fn poisson_log_probabilities(mean: f64, max_value: usize) -> Vec<f64> {
     let mut log_probability = -mean;
     let mut log_probabilities = vec![log_probability];
-    for k in 1..=largest {
+    for k in 1..=max_value {
         log_probability += (mean / k as f64).ln();
         log_probabilities.push(log_probability);
     }
--- a/crates/fleet-simulator/src/simulated/proxy/events.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/events.rs
@@ -121,7 +121,7 @@
     }
 
     /// Converts expired timers to events.
-    pub(super) fn take_timers(&mut self, now: Time, events: &mut Vec<Event>) {
+    pub(super) fn take_expired_timers(&mut self, now: Time, events: &mut Vec<Event>) {
         while let Some(token) = self.timers.pop_expired(now) {
             events.push(Event::Timer { token });
         }
@@ -129,7 +129,7 @@
 
     /// Closes requests to which the balancer has given no final response in time. The balancer is
     /// notified in the next tick, as if their clients had disconnected.
-    pub(super) fn close_unanswered(&mut self, now: Time) {
+    pub(super) fn close_unanswered_requests(&mut self, now: Time) {
         while let Some(Deadline { request, .. }) = self.requests.pop_response_deadline(now) {
             if self.requests.awaits_response(request) {
                 self.counts.unanswered += 1;
--- a/crates/fleet-simulator/src/simulated/proxy/mod.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/mod.rs
@@ -127,11 +127,11 @@
         let mut events = std::mem::take(&mut self.next_tick_events);
         self.take_inputs(now, &mut events);
         self.time_out_requests(now, &mut events);
-        self.take_timers(now, &mut events);
+        self.take_expired_timers(now, &mut events);
         for event in events {
             self.handle(now, event, shared);
         }
-        self.close_unanswered(now);
+        self.close_unanswered_requests(now);
     }
 
     /// Whether there is anything to do in a tick at the time `now`.
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -102,7 +102,7 @@
                 let returns_at = builder.fail_rack();
                 builder.timeline.restart_at = Some(returns_at);
             }
-            Scenario::Release => builder.release(),
+            Scenario::Release => builder.restart_with_outdated_list(),
         }
         let mut timeline = builder.timeline;
         let changes = &mut timeline.changes;
@@ -153,8 +153,8 @@
         let start = self.settings.window.start + FAULT_DELAY;
         let end = start + OUTAGE_DURATION;
         self.timeline.outage = Some(Outage { start, end });
-        self.drain_some(start + DRAIN_DELAY_IN_OUTAGE);
-        self.drain_some(end + DRAIN_DELAY_AFTER_OUTAGE);
+        self.drain_random_backends(start + DRAIN_DELAY_IN_OUTAGE);
+        self.drain_random_backends(end + DRAIN_DELAY_AFTER_OUTAGE);
     }
 
     /// A rack fails and returns. Gives the time of its return.
@@ -172,15 +172,15 @@
 
     /// Some backends start to drain. Then all proxies restart with an endpoint list in which these
     /// backends are still ready.
-    fn release(&mut self) {
+    fn restart_with_outdated_list(&mut self) {
         let start = self.settings.window.start;
-        self.drain_some(start);
+        self.drain_random_backends(start);
         self.timeline.restart_at = Some(start + RELEASE_DELAY);
         self.timeline.restart_with_first_list = true;
     }
 
     /// A random fraction of [`DRAINED_FRACTION`] of the backends, at least one, starts to drain.
-    fn drain_some(&mut self, at: Time) {
+    fn drain_random_backends(&mut self, at: Time) {
         let backends = self.settings.backends;
         let count = ((backends as f64 * DRAINED_FRACTION) as usize).max(1);
         for backend in sample(&mut self.random, backends, count) {
