--- a/crates/fleet-simulator/src/simulated/backends.rs
+++ b/crates/fleet-simulator/src/simulated/backends.rs
@@ -58,7 +58,7 @@
 
 impl Backends {
     /// Creates `count` ready backends that started so long ago that they are warm.
-    pub fn new(count: usize, slowdown: f64, fragility: f64, seed: u64) -> Backends {
+    pub fn new(count: usize, slowdown: f64, overload_tolerance: f64, seed: u64) -> Backends {
         Backends {
             all: (0..count).map(Backend::new).collect(),
             slowdown,
@@ -66,7 +66,7 @@
             completions: BinaryHeap::new(),
             random: Pcg64Mcg::seed_from_u64(seed),
             outcomes: OutcomeCounts::default(),
-            cold_starts: ColdStartMonitor::new(count, fragility),
+            cold_starts: ColdStartMonitor::new(count, overload_tolerance),
         }
     }
 
--- a/crates/fleet-simulator/src/simulated/cold_start.rs
+++ b/crates/fleet-simulator/src/simulated/cold_start.rs
@@ -36,7 +36,7 @@
 pub struct ColdStartMonitor {
     /// An injected fault: such backends tolerate only this fraction of the load that the settings
     /// allow. 1 means no fault.
-    fragility: f64,
+    overload_tolerance: f64,
     statistics: ColdStartStatistics,
     /// For each backend, whether it received an attempt while it was warming up.
     seen: Vec<bool>,
@@ -44,9 +44,9 @@
 
 impl ColdStartMonitor {
     /// A monitor for the given number of backends.
-    pub fn new(backends: usize, fragility: f64) -> ColdStartMonitor {
+    pub fn new(backends: usize, overload_tolerance: f64) -> ColdStartMonitor {
         ColdStartMonitor {
-            fragility,
+            overload_tolerance,
             statistics: ColdStartStatistics::default(),
             seen: vec![false; backends],
         }
@@ -82,7 +82,7 @@
     /// The number of attempts within an overload window that a backend tolerates, given its machine
     /// type and its current fraction of its full capacity.
     fn budget(&self, machine_type: usize, warmup_fraction: f64) -> f64 {
-        let full_speed = self.fragility * CORES / MACHINE_TYPES[machine_type].service_secs;
+        let full_speed = self.overload_tolerance * CORES / MACHINE_TYPES[machine_type].service_secs;
         OVERLOAD_MULTIPLE * warmup_fraction * full_speed * OVERLOAD_WINDOW_MICROS as f64 / 1e6
     }
 
--- a/crates/fleet-simulator/src/simulated/discovery.rs
+++ b/crates/fleet-simulator/src/simulated/discovery.rs
@@ -65,7 +65,7 @@
     outage: Option<Outage>,
     /// An injected fault: discovery does not send changes to watches, so the proxies are notified
     /// too late.
-    unresponsive: bool,
+    watch_updates_suppressed: bool,
     is_down: bool,
     queue: VecDeque<QueuedCall>,
     /// When discovery is free to serve the next call.
@@ -83,7 +83,7 @@
         proxies: u32,
         call_duration: Micros,
         outage: Option<Outage>,
-        unresponsive: bool,
+        watch_updates_suppressed: bool,
         start: Time,
     ) -> Discovery {
         let watching = Watcher {
@@ -93,7 +93,7 @@
         Discovery {
             call_duration,
             outage,
-            unresponsive,
+            watch_updates_suppressed,
             is_down: false,
             queue: VecDeque::new(),
             free_at: start,
@@ -116,7 +116,7 @@
         for change in changes {
             self.changes.append(*change);
         }
-        if !changes.is_empty() && !is_down && !self.unresponsive {
+        if !changes.is_empty() && !is_down && !self.watch_updates_suppressed {
             self.notify_watchers(now, known_before, &mut deliveries);
         }
         if !is_down {
--- a/crates/fleet-simulator/src/simulated/fleet/construction.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/construction.rs
@@ -56,7 +56,7 @@
     Backends::new(
         setup.backends,
         setup.faults.slowdown,
-        setup.faults.fragility,
+        setup.faults.overload_tolerance,
         setup.seed ^ 2,
     )
 }
@@ -66,7 +66,7 @@
         setup.proxies,
         Micros::from_secs(setup.discovery_call_ms / 1000.0),
         timeline.outage,
-        setup.faults.unresponsive_discovery,
+        setup.faults.watch_updates_suppressed,
         START,
     )
 }
--- a/crates/fleet-simulator/src/simulated/setup.rs
+++ b/crates/fleet-simulator/src/simulated/setup.rs
@@ -15,10 +15,10 @@
     /// Backends that are warming up tolerate only this fraction of the load that the settings
     /// allow.
     #[serde(rename = "frailty")]
-    pub fragility: f64,
+    pub overload_tolerance: f64,
     /// Whether discovery sends no changes to watches.
     #[serde(rename = "mute")]
-    pub unresponsive_discovery: bool,
+    pub watch_updates_suppressed: bool,
     /// The percentage of the backends that are hidden at the start: only one proxy in ten has them
     /// in its first endpoint list.
     #[serde(rename = "hidden")]
@@ -29,8 +29,8 @@
     fn default() -> FaultInjection {
         FaultInjection {
             slowdown: 1.0,
-            fragility: 1.0,
-            unresponsive_discovery: false,
+            overload_tolerance: 1.0,
+            watch_updates_suppressed: false,
             hidden_percent: 0,
         }
     }
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -87,7 +87,7 @@
 #[test]
 fn overload_of_warming_backends_fails_the_check_of_slow_start() {
     let faults = FaultInjection {
-        fragility: 0.02,
+        overload_tolerance: 0.02,
         ..FaultInjection::default()
     };
     let cold = Setup {
@@ -123,7 +123,7 @@
 fn changes_that_never_reach_the_proxies_fail_the_notification_and_late_attempt_checks() {
     // Backends that start to drain in this scenario never return, so attempts on them stay late.
     let faults = FaultInjection {
-        unresponsive_discovery: true,
+        watch_updates_suppressed: true,
         ..FaultInjection::default()
     };
     let results = run(
