--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -1,7 +1,7 @@
 //! The table of the command `fleet`, with one row per run.
 
 use super::table::{Column, Table};
-use crate::simulated::load::{CountRange, Load};
+use crate::simulated::load::{CountRange, LoadStatistics};
 use crate::simulated::FleetRun;
 
 const COLUMNS: [Column<FleetRun>; 18] = [
@@ -122,7 +122,7 @@
 
 /// The ratio of the largest load to the mean load, for the machine type with the highest ratio. In
 /// parentheses, the ratio that random choices would give.
-fn largest_load(load: &Load) -> String {
+fn largest_load(load: &LoadStatistics) -> String {
     let least_even = load
         .machine_types
         .iter()
@@ -132,7 +132,7 @@
     format!("{largest:.2} ({by_chance:.2})")
 }
 
-fn excess_spread(load: &Load) -> String {
+fn excess_spread(load: &LoadStatistics) -> String {
     let spreads = load
         .machine_types
         .iter()
@@ -145,7 +145,7 @@
     format!("{}, {:.1}, {}", range.min, range.mean, range.max)
 }
 
-fn new_connections(load: &Load) -> String {
+fn new_connections(load: &LoadStatistics) -> String {
     let [first_half, second_half] = load.new_connections_per_attempt;
     format!("{first_half:.2}, {second_half:.2}")
 }
--- a/crates/fleet-simulator/src/simulated/figures.rs
+++ b/crates/fleet-simulator/src/simulated/figures.rs
@@ -3,7 +3,7 @@
 use super::backends::OutcomeCounts;
 use super::cold_start::ColdStartStatistics;
 use super::discovery::DiscoveryStatistics;
-use super::load::Load;
+use super::load::LoadStatistics;
 use super::proxy::RequestCounts;
 use super::setup::Setup;
 use serde::Serialize;
@@ -81,7 +81,7 @@
     /// The number of attempts by outcome.
     pub outcomes: OutcomeCounts,
     /// How the load was spread over backends, proxies and connections.
-    pub load: Load,
+    pub load: LoadStatistics,
     /// The load on backends that were warming up.
     #[serde(rename = "cold")]
     pub cold_starts: ColdStartStatistics,
--- a/crates/fleet-simulator/src/simulated/fleet.rs
+++ b/crates/fleet-simulator/src/simulated/fleet.rs
@@ -10,7 +10,7 @@
 use super::context::SharedContext;
 use super::discovery::Discovery;
 use super::figures::FleetResults;
-use super::load::Load;
+use super::load::LoadStatistics;
 use super::messages::{AttemptKey, Delivery, ProxyOutput};
 use super::proxy::{Proxy, RequestCounts};
 use super::setup::Setup;
@@ -236,8 +236,8 @@
     }
 
     /// How the load was spread over backends, proxies and connections.
-    fn load(&self) -> Load {
-        Load::new(
+    fn load(&self) -> LoadStatistics {
+        LoadStatistics::new(
             &self.backends.all,
             &self.proxies,
             &self.unchanged_backends(),
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -76,7 +76,7 @@
 
 /// Statistics of the attempts in the measurement window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Load {
+pub struct LoadStatistics {
     /// The length of the window, s.
     pub window_secs: f64,
     /// The ratio of the largest load to the mean load, over the backends of all machine types. Fast
@@ -101,7 +101,7 @@
     pub new_connections_per_attempt: [f64; 2],
 }
 
-impl Load {
+impl LoadStatistics {
     /// The statistics at the end of a run. `unchanged` tells for each backend whether the scenario
     /// did not change it.
     pub fn new(
@@ -109,14 +109,14 @@
         proxies: &[Proxy],
         unchanged: &[bool],
         window_secs: f64,
-    ) -> Load {
+    ) -> LoadStatistics {
         let users = proxies_per_backend(proxies, backends.len());
         let unchanged_backends = only_unchanged(backends, unchanged);
         let all_loads = unchanged_backends.clone().map(|b| u64::from(b.load));
         let overall = CountRange::of(all_loads);
         let used_backends = proxies.iter().map(|p| p.connections.used_backends());
         let attempts = proxies.iter().map(|p| p.connections.total_attempts());
-        Load {
+        LoadStatistics {
             window_secs,
             largest_over_mean: overall.max as f64 / overall.mean.max(MIN_DIVISOR),
             machine_types: machine_type_loads(unchanged_backends),
