--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -22,11 +22,14 @@
     let name = cell_name(cell);
     let mut failed = Vec::new();
     if cell.ready_secs > MAX_READY_SECS {
-        failed.push(format!("{name}: ready after {:.2} s", cell.ready_secs));
+        let ready_secs = cell.ready_secs;
+        failed.push(format!(
+            "{name}: ready after {ready_secs:.2} s, limit {MAX_READY_SECS} s"
+        ));
     }
     let unanswered = cell.requests.not_served.no_response;
     if unanswered > 0 {
-        failed.push(format!("{name}: {unanswered} requests without a response"));
+        failed.push(format!("{name}: requests without a response: {unanswered}"));
     }
     failed
 }
@@ -51,7 +54,7 @@
 fn disturbed_cell(cell: &Cell) -> String {
     let name = cell_name(cell);
     let waits = cpu_wait(cell);
-    format!("{name}: CPU wait of {waits} % of the time")
+    format!("{name}: CPU wait when idle / under load / under probes: {waits} % of the time")
 }
 
 /// The failed checks of the fleets, one line each.
@@ -67,7 +70,7 @@
     let failed = results.checks.iter().filter(|check| !check.passed);
     failed.map(move |check| {
         format!(
-            "{scenario}, {} x {}: {}: {} against {}",
+            "{scenario}, {} proxies x {} backends: {}: measured {}, bound {}",
             setup.proxies, setup.backends, check.name, check.measured, check.bound
         )
     })
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -54,8 +54,8 @@
         cell: |run| new_connections(&run.results.load),
     },
     Column {
-        title:
-            "slow start: backends, worst window (budget), fraction of its bound, attempts beyond",
+        title: "slow start: backends, attempts in the worst window (budget), \
+                fraction of its bound, attempts over the bound",
         cell: cold_starts,
     },
     Column {
--- a/crates/fleet-simulator/src/simulated/context.rs
+++ b/crates/fleet-simulator/src/simulated/context.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The half of the window that contains a time, 0 or 1; `None` outside the window.
+    /// The half of the window that contains the time `at`, 0 or 1; `None` outside the window.
     pub fn half(&self, at: Time) -> Option<usize> {
         if at < self.start || at >= self.end {
             None
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether the window contains a time.
+    /// Whether the window contains the time `at`.
     pub fn contains(&self, at: Time) -> bool {
         self.half(at).is_some()
     }
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -157,7 +157,7 @@
         self.drain_random_backends(end + DRAIN_DELAY_AFTER_OUTAGE);
     }
 
-    /// A rack fails and returns. Gives the time of its return.
+    /// A rack fails and comes back. Returns the time at which it comes back.
     fn fail_rack(&mut self) -> Time {
         let fails_at = self.settings.window.start + FAULT_DELAY;
         let returns_at = fails_at + RACK_DOWNTIME;
@@ -179,7 +179,8 @@
         self.timeline.restart_with_first_list = true;
     }
 
-    /// A random fraction of [`DRAINED_FRACTION`] of the backends, at least one, starts to drain.
+    /// Randomly chosen backends start to drain: a fraction of [`DRAINED_FRACTION`] of all backends,
+    /// but at least one.
     fn drain_random_backends(&mut self, at: Time) {
         let backends = self.settings.backends;
         let count = ((backends as f64 * DRAINED_FRACTION) as usize).max(1);
--- a/crates/fleet-simulator/src/simulated/timeline.rs
+++ b/crates/fleet-simulator/src/simulated/timeline.rs
@@ -26,7 +26,7 @@
 }
 
 impl Outage {
-    /// Whether discovery is down at a time.
+    /// Whether discovery is down at the time `at`.
     pub fn contains(&self, at: Time) -> bool {
         self.start <= at && at < self.end
     }
--- a/crates/fleet-simulator/tests/command.rs
+++ b/crates/fleet-simulator/tests/command.rs
@@ -80,7 +80,9 @@
     let CommandOutput { exit_code, text } = run_with(&["--rate", "700", "--secs", "6"]);
     assert_eq!(exit_code, 1, "{text}");
     assert!(
-        text.contains("check failed: calm, 3 x 40: fraction of requests that were served"),
+        text.contains(
+            "check failed: calm, 3 proxies x 40 backends: fraction of requests that were served"
+        ),
         "{text}"
     );
 }
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -91,7 +91,7 @@
     };
     assert_eq!(
         failed_cells(&[passing_cell(), late]),
-        ["200 backends x 7 tenants: ready after 10.50 s"]
+        ["200 backends x 7 tenants: ready after 10.50 s, limit 10 s"]
     );
     let mut without_response = passing_cell();
     without_response.requests.not_served = NotServed {
@@ -100,7 +100,7 @@
     };
     assert_eq!(
         failed_cells(&[without_response]),
-        ["200 backends x 7 tenants: 1 requests without a response"]
+        ["200 backends x 7 tenants: requests without a response: 1"]
     );
 }
 
@@ -109,7 +109,8 @@
     assert_eq!(disturbed_cells(&[passing_cell()]), Vec::<String>::new());
     let mut busy = passing_cell();
     busy.cpu.cpu_wait_percent = [0.0, 2.5, 0.0];
-    let line = "200 backends x 7 tenants: CPU wait of 0.00 / 2.50 / 0.00 % of the time";
+    let line = "200 backends x 7 tenants: CPU wait when idle / under load / under probes: \
+                0.00 / 2.50 / 0.00 % of the time";
     assert_eq!(disturbed_cells(&[passing_cell(), busy]), [line]);
 }
 
