--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -1,9 +1,9 @@
-//! The command line of the capacity tests.
+//! Entry point of the fleet simulator: runs the command, prints its tables, and writes JSON.
 
 use brookstack_fleet_simulator::args::{AllArgs, Cli, Command, FleetArgs, RealArgs, SoakArgs};
 use brookstack_fleet_simulator::failure::Failure;
 use brookstack_fleet_simulator::real::cell::Cell;
-use brookstack_fleet_simulator::simulated::figures::Figures;
+use brookstack_fleet_simulator::simulated::figures::FleetResults;
 use brookstack_fleet_simulator::simulated::{self, Cost, FleetRun};
 use brookstack_fleet_simulator::soak::{self, SoakSetup};
 use brookstack_fleet_simulator::{real, report};
@@ -17,7 +17,7 @@
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .init();
-    // Exits with 2 where the command line can't be parsed.
+    // `parse` exits with code 2 if the command line is invalid.
     let cli = Cli::parse();
     let result = match &cli.command {
         Command::Real(args) => run_real(args),
@@ -39,15 +39,15 @@
     let cells = real::run_all(setups, args.jobs)?;
     print!("{}", report::real_table(&cells));
     print_disturbed_cells(&cells);
-    write_figures(args.json.as_deref(), &cells)?;
+    write_results(args.json.as_deref(), &cells)?;
     report_failed_checks(&report::failed_cells(&cells))
 }
 
 fn run_fleet(args: &FleetArgs) -> Result<(), Failure> {
     let runs = run_scenarios(args)?;
     print!("{}", report::fleet_table(&runs));
-    let figures: Vec<&Figures> = runs.iter().map(|run| &run.figures).collect();
-    write_figures(args.json.as_deref(), &figures)?;
+    let results: Vec<&FleetResults> = runs.iter().map(|run| &run.results).collect();
+    write_results(args.json.as_deref(), &results)?;
     report_failed_checks(&report::failed_fleets(&runs))
 }
 
@@ -60,7 +60,7 @@
     }
     let cells = real::run_all(setups, real_args.jobs)?;
     println!(
-        "The real proxy beside stand-ins:\n\n{}",
+        "The real proxy, with stand-ins for discovery, backends and clients:\n\n{}",
         report::real_table(&cells)
     );
     print_disturbed_cells(&cells);
@@ -68,10 +68,10 @@
         "Simulated proxies on a simulated clock:\n\n{}",
         report::fleet_table(&runs)
     );
-    let fleets: Vec<&Figures> = runs.iter().map(|run| &run.figures).collect();
+    let fleets: Vec<&FleetResults> = runs.iter().map(|run| &run.results).collect();
     let costs: Vec<&Cost> = runs.iter().map(|run| &run.cost).collect();
-    let figures = serde_json::json!({"real": cells, "fleets": fleets, "costs": costs});
-    write_figures(args.json.as_deref(), &figures)?;
+    let results = serde_json::json!({"real": cells, "fleets": fleets, "costs": costs});
+    write_results(args.json.as_deref(), &results)?;
     let failed_cells = report::failed_cells(&cells);
     let failed_fleets = report::failed_fleets(&runs);
     report_failed_checks(&[failed_cells, failed_fleets].concat())
@@ -86,7 +86,7 @@
         jobs: args.jobs,
     };
     let runs = soak::run(&setup, &|run| print!("{run}"))?;
-    write_figures(args.json.as_deref(), &runs)?;
+    write_results(args.json.as_deref(), &runs)?;
     let failed = runs.iter().filter(|run| !run.violations.is_empty());
     let failed: Vec<String> = failed
         .map(|run| format!("seed {}: {}", run.plan.seed, run.command()))
@@ -95,7 +95,7 @@
     report_failed_checks(&failed)
 }
 
-/// Runs a fleet once for each scenario.
+/// Runs the fleet once per scenario.
 fn run_scenarios(args: &FleetArgs) -> Result<Vec<FleetRun>, Failure> {
     let mut runs = Vec::new();
     for setup in args.setups()? {
@@ -103,28 +103,29 @@
         tracing::info!(
             proxies = setup.proxies,
             backends = setup.backends,
-            "fleet done: {:?}",
+            "fleet run finished: {:?}",
             setup.scenario
         );
     }
     Ok(runs)
 }
 
-/// Prints the cells whose figures a busy machine has disturbed. They stay in the table.
+/// Prints the cells whose times were distorted because other processes used the CPU. They stay in
+/// the table.
 fn print_disturbed_cells(cells: &[Cell]) {
     for line in report::disturbed_cells(cells) {
-        println!("busy machine, measure its times and stalls again: {line}");
+        println!("times and stalls distorted by other load on this machine, measure again: {line}");
     }
 }
 
-fn write_figures(path: Option<&Path>, figures: &impl Serialize) -> Result<(), Failure> {
+fn write_results(path: Option<&Path>, results: &impl Serialize) -> Result<(), Failure> {
     match path {
-        Some(path) => report::write_json(path, figures),
+        Some(path) => report::write_json(path, results),
         None => Ok(()),
     }
 }
 
-/// Prints the checks that failed. Any of them makes the command fail.
+/// Prints the failed checks. Returns an error if there are any, so that the command fails.
 fn report_failed_checks(failed: &[String]) -> Result<(), Failure> {
     for line in failed {
         println!("check failed: {line}");
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -1,7 +1,7 @@
-//! The table of the command `fleet`: one row per run.
+//! The table of the command `fleet`, with one row per run.
 
 use super::table::{Column, Table};
-use crate::simulated::load::{CountRange, Load};
+use crate::simulated::load::{CountRange, LoadStatistics};
 use crate::simulated::FleetRun;
 
 const COLUMNS: [Column<FleetRun>; 18] = [
@@ -11,7 +11,7 @@
     },
     Column {
         title: "scenario",
-        cell: |run| run.figures.setup.scenario.name(),
+        cell: |run| run.results.setup.scenario.name(),
     },
     Column {
         title: "requests (per second and proxy)",
@@ -19,7 +19,7 @@
     },
     Column {
         title: "served, %",
-        cell: |run| format!("{:.2}", 100.0 * run.figures.served_fraction()),
+        cell: |run| format!("{:.2}", 100.0 * run.results.served_fraction()),
     },
     Column {
         title: "rejected / failed / unanswered / interrupted",
@@ -35,27 +35,27 @@
     },
     Column {
         title: "max / mean load within a machine type (by chance)",
-        cell: |run| largest_load(&run.figures.load),
+        cell: |run| largest_load(&run.results.load),
     },
     Column {
         title: "excess spread of load within a machine type, % of the mean",
-        cell: |run| excess_spread(&run.figures.load),
+        cell: |run| excess_spread(&run.results.load),
     },
     Column {
         title: "backends used per proxy (min, mean, max)",
-        cell: |run| count_range(&run.figures.load.backends_per_proxy),
+        cell: |run| count_range(&run.results.load.backends_per_proxy),
     },
     Column {
         title: "proxies per backend (min, mean, max)",
-        cell: |run| count_range(&run.figures.load.proxies_per_backend),
+        cell: |run| count_range(&run.results.load.proxies_per_backend),
     },
     Column {
         title: "new connections per attempt (1st, 2nd half)",
-        cell: |run| new_connections(&run.figures.load),
+        cell: |run| new_connections(&run.results.load),
     },
     Column {
-        title:
-            "slow start: backends, worst window (budget), fraction of its bound, attempts beyond",
+        title: "slow start: backends, attempts in the worst window (budget), \
+                fraction of its bound, attempts over the bound",
         cell: cold_starts,
     },
     Column {
@@ -80,24 +80,24 @@
     },
 ];
 
-/// The table of the fleets of simulated proxies.
+/// Builds the table of simulated fleets.
 pub fn fleet_table(runs: &[FleetRun]) -> Table {
     Table::of(&COLUMNS, runs)
 }
 
 fn size(run: &FleetRun) -> String {
-    let setup = &run.figures.setup;
+    let setup = &run.results.setup;
     format!("{} x {}", setup.proxies, setup.backends)
 }
 
 fn arrived_requests(run: &FleetRun) -> String {
-    let arrived = run.figures.requests.arrived;
-    let per_second = run.figures.setup.requests_per_second;
+    let arrived = run.results.requests.arrived;
+    let per_second = run.results.setup.requests_per_second;
     format!("{arrived} ({per_second:.1})")
 }
 
 fn requests_not_served(run: &FleetRun) -> String {
-    let counts = &run.figures.requests;
+    let counts = &run.results.requests;
     format!(
         "{} / {} / {} / {}",
         counts.rejected, counts.failed, counts.unanswered, counts.interrupted
@@ -105,23 +105,24 @@
 }
 
 fn latency(run: &FleetRun) -> String {
-    let figures = &run.figures;
+    let results = &run.results;
     format!(
         "{:.0} / {:.0}",
-        figures.latency_p50_ms, figures.latency_p99_ms
+        results.latency_p50_ms, results.latency_p99_ms
     )
 }
 
 fn queue_delay(run: &FleetRun) -> String {
-    let figures = &run.figures;
+    let results = &run.results;
     format!(
         "{:.1} / {:.1}",
-        figures.queue_delay_p50_ms, figures.queue_delay_p99_ms
+        results.queue_delay_p50_ms, results.queue_delay_p99_ms
     )
 }
 
-/// The largest load over the mean, for the machine type where this ratio is largest.
-fn largest_load(load: &Load) -> String {
+/// The ratio of the largest load to the mean load, for the machine type with the highest ratio. In
+/// parentheses, the ratio that random choices would give.
+fn largest_load(load: &LoadStatistics) -> String {
     let least_even = load
         .machine_types
         .iter()
@@ -131,7 +132,7 @@
     format!("{largest:.2} ({by_chance:.2})")
 }
 
-fn excess_spread(load: &Load) -> String {
+fn excess_spread(load: &LoadStatistics) -> String {
     let spreads = load
         .machine_types
         .iter()
@@ -144,46 +145,46 @@
     format!("{}, {:.1}, {}", range.min, range.mean, range.max)
 }
 
-fn new_connections(load: &Load) -> String {
+fn new_connections(load: &LoadStatistics) -> String {
     let [first_half, second_half] = load.new_connections_per_attempt;
     format!("{first_half:.2}, {second_half:.2}")
 }
 
 fn cold_starts(run: &FleetRun) -> String {
-    let figures = &run.figures.cold_starts;
+    let statistics = &run.results.cold_starts;
     format!(
         "{}, {} ({:.1}), {:.2}, {}",
-        figures.backends,
-        figures.worst_window_attempts,
-        figures.worst_window_budget,
-        figures.worst_fraction_of_bound,
-        figures.attempts_over_bound
+        statistics.backends,
+        statistics.worst_window_attempts,
+        statistics.worst_window_budget,
+        statistics.worst_fraction_of_bound,
+        statistics.attempts_over_bound
     )
 }
 
 fn discovery_calls(run: &FleetRun) -> String {
-    let figures = &run.figures.discovery;
+    let statistics = &run.results.discovery;
     format!(
         "{}, {}, {}, {}",
-        figures.changes, figures.calls, figures.calls_refused, figures.calls_timed_out
+        statistics.changes, statistics.calls, statistics.calls_refused, statistics.calls_timed_out
     )
 }
 
 fn notification_delay(run: &FleetRun) -> String {
-    let figures = &run.figures.discovery.propagation;
+    let statistics = &run.results.discovery.propagation;
     let secs = |ms: f64| ms / 1000.0;
     format!(
         "{:.3} / {:.2} / {:.2}; {} of {}",
-        secs(figures.delay_p50_ms),
-        secs(figures.delay_p99_ms),
-        secs(figures.delay_max_ms),
-        figures.after_deadline,
-        figures.pairs
+        secs(statistics.delay_p50_ms),
+        secs(statistics.delay_p99_ms),
+        secs(statistics.delay_max_ms),
+        statistics.after_deadline,
+        statistics.pairs
     )
 }
 
 fn late_attempts(run: &FleetRun) -> String {
-    let late = &run.figures.late_attempts;
+    let late = &run.results.late_attempts;
     format!("{}, {}", late.after_notification, late.after_deadline)
 }
 
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! A small fleet. Its figures depend only on its setup, and each check fails in a world with the
-//! fault that it is to find.
+//! Tests with a small simulated fleet: its results depend only on its setup, and each check fails
+//! if the fault that it has to detect is injected.
 
-use brookstack_fleet_simulator::simulated::figures::{Check, Figures};
+use brookstack_fleet_simulator::simulated::figures::{Check, FleetResults};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
 
-/// 30 proxies and 200 backends in the scenario `calm`.
+/// A setup with 30 proxies and 200 backends in the scenario `calm`.
 fn calm() -> Setup {
     Setup {
         scenario: Scenario::Calm,
@@ -24,15 +24,15 @@
     }
 }
 
-fn run(setup: &Setup, threads: usize) -> Figures {
+fn run(setup: &Setup, threads: usize) -> FleetResults {
     simulated::run(setup, threads)
         .expect("a valid setup")
-        .figures
+        .results
 }
 
-/// The names of the checks that failed.
-fn failed_checks(figures: &Figures) -> Vec<&'static str> {
-    figures
+/// The names of the failed checks.
+fn failed_checks(results: &FleetResults) -> Vec<&'static str> {
+    results
         .checks
         .iter()
         .filter(|check: &&Check| !check.passed)
@@ -40,16 +40,16 @@
         .collect()
 }
 
-fn json(figures: &Figures) -> String {
-    serde_json::to_string(figures).expect("JSON")
+fn json(results: &FleetResults) -> String {
+    serde_json::to_string(results).expect("JSON")
 }
 
 #[test]
-fn the_same_seed_gives_identical_figures_on_any_number_of_threads() {
+fn results_depend_on_the_seed_but_not_on_the_number_of_threads() {
     let first = run(&calm(), 1);
     assert!(
         first.requests.served > 5_000 && first.discovery.changes >= 9,
-        "too little happened: {first:?}"
+        "too few requests or changes: {first:?}"
     );
     let first = json(&first);
     assert_eq!(first, json(&run(&calm(), 1)), "a second run");
@@ -60,34 +60,34 @@
 
 #[test]
 fn a_fleet_without_faults_passes_all_checks() {
-    let figures = run(&calm(), 3);
+    let results = run(&calm(), 3);
     assert_eq!(
-        failed_checks(&figures),
+        failed_checks(&results),
         Vec::<&str>::new(),
         "{:?}",
-        figures.checks
+        results.checks
     );
-    assert_eq!(figures.checks.len(), 7);
+    assert_eq!(results.checks.len(), 7);
 }
 
 #[test]
-fn backends_that_are_too_slow_fail_the_check_of_served_requests() {
+fn slow_backends_fail_the_check_of_served_requests() {
     let faults = FaultInjection {
         slowdown: 40.0,
         ..FaultInjection::default()
     };
-    let figures = run(&Setup { faults, ..calm() }, 3);
+    let results = run(&Setup { faults, ..calm() }, 3);
     assert!(
-        failed_checks(&figures).contains(&"fraction of requests that were served"),
+        failed_checks(&results).contains(&"fraction of requests that were served"),
         "{:?}",
-        figures.checks
+        results.checks
     );
 }
 
 #[test]
-fn overloaded_warming_backends_fail_the_check_of_cold_starts() {
+fn overload_of_warming_backends_fails_the_check_of_slow_start() {
     let faults = FaultInjection {
-        fragility: 0.02,
+        overload_tolerance: 0.02,
         ..FaultInjection::default()
     };
     let cold = Setup {
@@ -97,13 +97,13 @@
         faults,
         ..calm()
     };
-    let figures = run(&cold, 3);
-    assert_eq!(figures.cold_starts.backends, 4);
+    let results = run(&cold, 3);
+    assert_eq!(results.cold_starts.backends, 4);
     let name = "attempts on backends in slow start beyond their bound";
     assert!(
-        failed_checks(&figures).contains(&name),
+        failed_checks(&results).contains(&name),
         "{:?}",
-        figures.checks
+        results.checks
     );
     let without_fault = run(
         &Setup {
@@ -120,13 +120,13 @@
 }
 
 #[test]
-fn changes_that_never_reach_the_proxies_fail_the_notification_checks() {
-    // Backends that begin to drain in this scenario never return.
+fn changes_that_never_reach_the_proxies_fail_the_notification_and_late_attempt_checks() {
+    // Backends that start to drain in this scenario never return, so attempts on them stay late.
     let faults = FaultInjection {
-        unresponsive_discovery: true,
+        watch_updates_suppressed: true,
         ..FaultInjection::default()
     };
-    let figures = run(
+    let results = run(
         &Setup {
             scenario: Scenario::Outage,
             duration_secs: 40.0,
@@ -135,23 +135,23 @@
         },
         3,
     );
-    let failed = failed_checks(&figures);
+    let failed = failed_checks(&results);
     for name in [
         "notifications later than the deadline of 6 s",
         "attempts on unavailable backends later than 0.5 s after the notification deadline",
     ] {
-        assert!(failed.contains(&name), "{name}: {:?}", figures.checks);
+        assert!(failed.contains(&name), "{name}: {:?}", results.checks);
     }
-    assert!(figures.discovery.propagation.not_notified > 0);
+    assert!(results.discovery.propagation.not_notified > 0);
 }
 
 #[test]
-fn an_uneven_load_fails_the_check_of_the_spread() {
+fn uneven_load_fails_the_check_of_excess_spread() {
     let faults = FaultInjection {
         hidden_percent: 20,
         ..FaultInjection::default()
     };
-    let figures = run(
+    let results = run(
         &Setup {
             duration_secs: 14.0,
             faults,
@@ -160,8 +160,8 @@
         3,
     );
     assert!(
-        failed_checks(&figures).contains(&"excess spread of load within a machine type"),
+        failed_checks(&results).contains(&"excess spread of load within a machine type"),
         "{:?}",
-        figures.checks
+        results.checks
     );
 }
