--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,10 +1,10 @@
-//! The balancer's state machine: takes an event (`event.rs`), decides by its configuration
-//! (`config.rs`) and returns actions (`action.rs`).
+//! The balancer's state machine. It takes events (`interface/event.rs`), decides by its
+//! configuration (`interface/config.rs`) and returns actions (`interface/action.rs`).
 //!
-//! The [`Balancer`] is made of components, each of which owns one part of the state. Its methods
-//! call them in the order of what happens at an event: this file has one method for each event,
-//! `dispatch.rs` what leads to a request's attempts and final response, and `periodic.rs` what is
-//! done at regular times.
+//! [`Balancer`] consists of components, each of which owns one part of the state, and calls them in
+//! the order that an event requires. This file has one method for each kind of event. `dispatch.rs`
+//! dispatches the attempts of a request and gives its final response. `periodic.rs` contains the
+//! work that is done at regular intervals and at wake-ups.
 
 mod dispatch;
 mod periodic;
@@ -27,7 +27,8 @@
     LogEvent, Micros, Outcome, Time,
 };
 
-/// The decisions of one proxy. Give it every event in order; it responds with actions.
+/// The load balancer of one proxy. The host must pass every event to [`handle`](Self::handle), in
+/// the order in which the events happen, and execute the actions that it returns.
 pub struct Balancer {
     config: Config,
     rng: Rng,
@@ -35,39 +36,39 @@
     requests: RequestTable,
     /// The open requests that wait for a backend.
     queue: RequestQueue,
-    /// Which requests are admitted, by priority and tenant quota.
+    /// Decides which requests are admitted, by priority and tenant quota.
     admission: AdmissionControl,
-    /// The retries and hedged requests that may be sent now.
+    /// Limits the number of retries and hedged requests.
     retry_budget: RetryBudget,
     /// The backends that this proxy uses, and their machine types.
     backends: BackendTable,
     /// Decides which backends are ejected, suspect or unresponsive.
     outliers: OutlierDetector,
-    /// How many attempts this proxy may have in flight.
+    /// Limits the attempts that this proxy may have in flight.
     concurrency: ConcurrencyLimits,
-    /// When the shares of the traffic are computed, and how much of it they can place.
+    /// When the traffic shares are computed, and which fraction of the traffic they can place.
     shares: ShareSchedule,
-    /// Latency and work of each class.
+    /// Estimates of the latency and the work of each class.
     latencies: LatencyEstimates,
     /// The endpoint list, and the part of it that this proxy uses.
     subset: Subset,
-    /// When discovery is polled, and how old the endpoint list is.
+    /// When to poll discovery, and whether the endpoint list is stale.
     discovery_watch: DiscoveryWatch,
-    /// How many idle connections the host may keep.
+    /// Limits the idle connections that the host may keep.
     idle_connections: IdleConnectionLimit,
-    /// When something is next to be done without an event.
+    /// When the balancer must run next even if no event arrives.
     wakeups: Wakeups,
-    /// The actions that the event at hand has called for so far.
+    /// The actions to return for the current event.
     outbox: Outbox,
 }
 
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration. The same seed and the same events
-    /// cause the same actions.
+    /// Creates the balancer of a proxy that has no endpoint list yet. Balancers with the same
+    /// configuration and seed return the same actions for the same events.
     ///
     /// # Errors
     ///
-    /// A field of the configuration is out of its range.
+    /// Fails if a field of the configuration is out of its range.
     pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
         config.validate()?;
         Ok(Balancer {
@@ -90,7 +91,7 @@
         })
     }
 
-    /// Takes one event that happened at `now` and appends the actions it calls for.
+    /// Handles an event that happened at `now` and appends the actions to execute to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if may_free_capacity(&event) {
             self.queue.unblock();
@@ -100,7 +101,7 @@
         self.concurrency.record_in_flight(now, in_flight);
         if let Event::Timer { token } = event {
             if !self.wakeups.accept_timer(token) {
-                return; // a newer timer has replaced it
+                return; // A newer timer has replaced this one.
             }
         }
         self.handle_event(now, event);
@@ -110,8 +111,9 @@
         if self.wakeups.take_due(now) {
             self.poll_discovery(now);
             self.check_attempts(now);
-            // A request is offered to the backends before it is judged by an expected latency: the
-            // check may come late, together with the event that brought the request.
+            // `check_requests` gives up requests that would be late by their expected latency. An
+            // overdue wake-up may be handled together with the arrival of a request, which must be
+            // offered to the backends before this check.
             self.send_queued(now);
             self.check_requests(now);
         }
@@ -125,7 +127,7 @@
         self.outbox.drain_into(actions);
     }
 
-    /// Handles what is particular to an event.
+    /// Runs the part of the handling that is specific to the kind of event.
     fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::EndpointsUpdated { update, endpoints } => {
@@ -141,7 +143,7 @@
                     .on_connection_rejected(now, idle_connections);
             }
             Event::ClientDisconnected { request } => self.close_request(request),
-            Event::Timer { .. } => {} // its only effect is the wake-up
+            Event::Timer { .. } => {} // `handle` runs the wake-up that the timer was set for.
         }
     }
 
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Takes in a request, then queues or rejects it.
+    /// Records a request, then queues or rejects it.
     fn on_request(&mut self, now: Time, arrival: &Arrival) {
         let Some(class) = self.config.classes.get(arrival.class.0) else {
             return;
@@ -219,8 +221,8 @@
             .wake_by(now + queue_check.min(arrival.time_left));
     }
 
-    /// Learns from the end of an attempt. Its request then has its final response or waits for
-    /// another attempt.
+    /// Updates the estimates with the result of an attempt. Then closes its request if that has its
+    /// final response, or queues it for another attempt if none is in flight.
     fn on_attempt_ended(&mut self, now: Time, mut end: AttemptEnd) {
         let Some(attempt) = self.requests.take_in_flight(&end) else {
             return;
@@ -240,13 +242,14 @@
         if end.settled || is_success {
             self.close_answered_request(end.request, timeliness);
         } else if !request.is_in_flight() && !self.queue.contains(end.request) {
-            // `send_queued` sends it again or gives it up.
+            // `send_queued` dispatches another attempt or gives the request up.
             self.queue.push(end.request);
         }
     }
 
-    /// The outcome that counts. A cancelled attempt that took longer than its class's objective
-    /// counts as a time-out: mostly its client has left after all that time.
+    /// The outcome by which an attempt is evaluated. A cancelled attempt that took longer than its
+    /// class's latency objective counts as a timeout, because it was mostly cancelled by a client
+    /// that gave up after waiting that long.
     fn effective_outcome(&self, attempt: &InFlightAttempt, end: &AttemptEnd) -> Outcome {
         let objective = self.config.classes[attempt.class.0].latency_objective;
         if end.outcome == Outcome::Cancelled && end.latency > objective {
@@ -256,9 +259,9 @@
         }
     }
 
-    /// Lets admission control learn from the end of an attempt. Only successes and time-outs count:
-    /// the other outcomes come from cancellations and from faulty, draining or unreachable
-    /// backends, not from overload.
+    /// Adjusts admission control to the latency of an attempt. Only successes and timeouts count:
+    /// the other outcomes are caused by cancellations and by faulty, draining or unreachable
+    /// backends, not by overload.
     fn adjust_admission(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let is_success = end.outcome == Outcome::Success;
         let shows_load = is_success || end.outcome == Outcome::TimedOut;
@@ -275,7 +278,7 @@
         self.admission.adjust(promptness, self.peers());
     }
 
-    /// Lets outlier detection and the estimates learn from the outcome of an attempt.
+    /// Updates outlier detection and the latency estimates with the outcome of an attempt.
     fn learn_from_outcome(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let Some(backend) = self.backends.get_mut(attempt.backend) else {
             return;
@@ -290,8 +293,8 @@
             &mut self.rng,
         );
         if is_ejected {
-            // Requests whose only attempt is on this backend are probably lost: they are hedged at
-            // the next wake-up.
+            // The attempts in flight on this backend are probably lost. The checks at this wake-up
+            // hedge the requests that have no other attempt.
             self.wakeups.wake_by(now + self.config.tick);
             let ejection = LogEvent::BackendEjected {
                 backend: attempt.backend,
@@ -307,7 +310,8 @@
         }
     }
 
-    /// Records that a backend served a request: it accepted requests when this one was sent.
+    /// Records that a backend served a request, which shows that it accepted requests when this one
+    /// was sent.
     fn record_acceptance(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd) {
         if let Some(backend) = self.backends.get_mut(attempt.backend) {
             backend.health_mut().record_acceptance(Acceptance {
@@ -317,27 +321,27 @@
         }
     }
 
-    /// The proxies that share each backend with this one.
+    /// How many proxies share each backend.
     fn peers(&self) -> Peers {
         Peers {
             per_backend: self.subset.proxies_per_backend(&self.config),
         }
     }
 
-    /// Attempts that count against the limits of this proxy.
+    /// The attempts in flight that count against the concurrency limits of this proxy.
     fn count_in_flight(&self) -> f64 {
         count_in_flight(&self.requests, &self.backends, self.peers())
     }
 
-    /// How long a client that is rejected now should wait before it retries. Rate estimates cover
-    /// that time, so that an earlier retry would meet the same load.
+    /// The time that a rejected client should wait before it retries. It is the time that rate
+    /// estimates cover: an earlier retry would meet the same load.
     pub fn retry_after(&self) -> Micros {
         Micros::from_secs(RATE_MEMORY)
     }
 }
 
-/// Whether an event may free capacity for waiting requests. The others do not, and offering a long
-/// queue to full backends again costs CPU.
+/// Whether an event may free capacity for waiting requests. After any other event, offering a long
+/// queue to full backends again would only cost CPU time.
 fn may_free_capacity(event: &Event) -> bool {
     !matches!(event, Event::Request(_) | Event::Timer { .. })
 }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a waiting request to its attempts and its final response.
+//! Dispatching the attempts of waiting requests, and giving requests their final response.
 
 use super::Balancer;
 use crate::admission::{prompt_latency, Timeliness};
@@ -10,25 +10,27 @@
 /// The number of a request's first attempt.
 const FIRST_ATTEMPT: AttemptNumber = AttemptNumber(0);
 
-/// What is to be done with a waiting request now.
+/// What to do with a waiting request.
 enum DispatchDecision {
-    /// An attempt is sent to this backend.
+    /// Send an attempt to this backend.
     Send(BackendId),
-    /// No backend has capacity for it.
+    /// Keep the request in the queue: no backend has capacity for it.
     NoCapacity,
-    /// No further attempt is allowed.
+    /// Send no attempt: none is allowed any more.
     NotAllowed,
 }
 
 impl Balancer {
-    /// Sends what waits, in the order of [`QueuedRequest::sending_order`].
+    /// Offers the waiting requests to the backends, in the order of
+    /// [`QueuedRequest::sending_order`].
     pub(super) fn send_queued(&mut self, now: Time) {
         if self.queue.is_empty_or_blocked() {
             return;
         }
         for queued in self.take_queued() {
             if self.queue.is_blocked(&queued) {
-                // Nothing that is less urgent finds capacity, and trying each costs CPU.
+                // A first attempt of the same or a higher priority found no capacity. Trying this
+                // one as well would only cost CPU time.
                 self.queue.push(queued.id);
             } else {
                 self.send_or_give_up(now, queued.id);
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Empties the queue, in the order in which it is to be sent.
+    /// Takes all requests out of the queue and sorts them into the order of sending.
     fn take_queued(&mut self) -> Vec<QueuedRequest> {
         let densities = self.admission.densities(&self.config, &self.latencies);
         let mut queued = Vec::new();
@@ -50,7 +52,7 @@
         queued
     }
 
-    /// Sends a request, queues it again or gives it up.
+    /// Dispatches an attempt of a request, queues the request again or gives it up.
     fn send_or_give_up(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -60,12 +62,12 @@
             DispatchDecision::Send(backend) => self.dispatch(now, id, backend),
             DispatchDecision::NoCapacity => self.queue_again(id),
             DispatchDecision::NotAllowed if !is_in_flight => self.give_up(id),
-            // Its attempt in flight may still succeed.
+            // The attempt in flight may still succeed.
             DispatchDecision::NotAllowed => {}
         }
     }
 
-    /// Decides what is to be done with a waiting request now.
+    /// Decides what to do with a waiting request.
     fn decide(&mut self, now: Time, id: RequestId) -> DispatchDecision {
         let Some(request) = self.requests.get(id) else {
             return DispatchDecision::NotAllowed;
@@ -125,7 +127,8 @@
         });
     }
 
-    /// Queues a request that found no capacity, and blocks first attempts that are less important.
+    /// Queues a request again after it found no capacity. If this was for its first attempt, also
+    /// blocks other first attempts of the same or a lower priority.
     fn queue_again(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(id).filter(|request| request.is_unsent()) {
             self.queue.block_up_to_priority_of(request);
@@ -133,8 +136,9 @@
         self.queue.push(id);
     }
 
-    /// Queues a further attempt beside the only one, which is in flight. Where none may run beside
-    /// it, cancels that one to make way for the next.
+    /// Hedges or replaces the only attempt of a request, which is in flight and probably lost.
+    /// Where hedging is allowed, queues the request for a second attempt. Otherwise cancels the
+    /// first attempt, so that a retry can follow.
     pub(super) fn hedge_or_replace(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Gives the final response to a request that will not be served.
+    /// Rejects or fails a request that will not be served, and closes it.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -167,7 +171,7 @@
         self.close_answered_request(id, Timeliness::Missed);
     }
 
-    /// Closes a request that has its final response.
+    /// Records the final response of a request and closes the request.
     pub(super) fn close_answered_request(&mut self, id: RequestId, timeliness: Timeliness) {
         if let Some(request) = self.requests.get(id) {
             self.admission.record_response(request.class, timeliness);
@@ -175,8 +179,8 @@
         self.close_request(id);
     }
 
-    /// Forgets a request. Cancels its attempts in flight if the configuration allows that;
-    /// otherwise they end later.
+    /// Removes a request. Cancels its attempts in flight if the configuration allows that;
+    /// otherwise they continue until the host reports their end.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(id) else {
             return;
@@ -198,8 +202,10 @@
         }
     }
 
-    /// Until when the newest attempt of a request may begin to be sent. `None` if the request is
-    /// closed, has no idempotency key, or no earlier attempt may have run.
+    /// The time before which the host must begin to send the newest attempt of a request. After it,
+    /// backends may have forgotten the request's idempotency key and could execute the request
+    /// twice. `None` if the request is closed or has no idempotency key, or if no earlier attempt
+    /// may have been executed.
     pub fn send_by(&self, request: RequestId) -> Option<Time> {
         let request = self.requests.get(request)?;
         RetryPolicy::new(&self.config, request).send_by()
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -1,5 +1,5 @@
-//! What is done at wake-ups and at the interval of the computation of the shares: that computation,
-//! polls of discovery, and the checks of attempts and requests.
+//! Periodic work: the regular computation of the traffic shares, and what a wake-up runs, which is
+//! the polls of discovery and the checks of attempts and requests.
 
 use super::Balancer;
 use crate::admission::{prompt_latency, Promptness};
@@ -11,7 +11,7 @@
 use crate::{Action, Micros, Time};
 
 impl Balancer {
-    /// Computes readiness, shares and limits anew.
+    /// Recomputes the readiness, the traffic shares and the limits of all backends.
     pub(super) fn recompute_shares(&mut self, now: Time) {
         let elapsed = self.shares.begin_computation(now);
         self.queue.unblock();
@@ -19,15 +19,15 @@
         let ready_count = self.backends.update_readiness(now, &self.config);
         self.idle_connections.grow(now, ready_count);
         let own_rate = self.admission.update_rate(now);
-        // Where few proxies share a backend, each visits it many times a second, so that the time
-        // between two visits does not matter.
+        // If only a few proxies share a backend, each of them sends it many requests a second, so
+        // that the interval between two requests does not matter.
         let visit_rate = own_rate.filter(|_| !peers.are_few());
         self.outliers.update_visit_interval(ready_count, visit_rate);
         let fleet_rate = own_rate.map(|rate| rate * peers.per_backend);
         let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY;
         self.backends
             .estimate_speeds(elapsed, assumed_latency, fleet_rate);
-        // Before any response no speed is known: without a rate the traffic is split evenly.
+        // No speed is known before the first response. Without a rate, the traffic is split evenly.
         let known_rate = fleet_rate.filter(|_| self.latencies.has_samples());
         self.backends.split_by_machine_type(known_rate);
         self.concurrency
@@ -35,7 +35,7 @@
         self.allocate_shares(now, own_rate);
     }
 
-    /// Sets each backend's part of the traffic and its limits.
+    /// Sets the traffic share and the limits of each backend.
     fn allocate_shares(&mut self, now: Time, own_rate: Option<f64>) {
         let peers = self.peers();
         let replica = self.subset.replica(&self.config);
@@ -62,7 +62,7 @@
         self.shares.end_computation(placeable_fraction);
     }
 
-    /// Polls discovery if that is due.
+    /// Polls discovery if a poll is due, and schedules a wake-up for the next poll.
     pub(super) fn poll_discovery(&mut self, now: Time) {
         if self.discovery_watch.take_due_poll(now, &self.config) {
             self.outbox.push(Action::WatchEndpoints);
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Marks the backends whose responses are long overdue, counts late attempts in admission
-    /// control, and schedules the next check.
+    /// Marks backends whose responses are long overdue as unresponsive, reports late attempts to
+    /// admission control, and schedules the next check.
     pub(super) fn check_attempts(&mut self, now: Time) {
         if self.outliers.clear_unresponsive(&mut self.backends) {
-            // The marks are set again below for the backends that still do not respond. The others
-            // have capacity again.
+            // The loop below marks the backends that still do not respond again. The other
+            // backends have capacity again.
             self.queue.unblock();
         }
         let peers = self.peers();
         for attempt in self.requests.in_flight_mut() {
             let baseline = self.backends.baseline_latency(attempt.backend);
             let prompt_latency = prompt_latency(&self.latencies, baseline, attempt.class);
-            // Lateness is known once the time is up: an overloaded backend responds only much
-            // later.
+            // An attempt counts as late as soon as its prompt latency is over, without waiting for
+            // its end: an overloaded backend responds only much later.
             let late_at = attempt.sent_at + prompt_latency;
             if !attempt.counted_late && now >= late_at {
                 attempt.counted_late = true;
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Gives up the requests that are overdue and hedges those whose only attempt is probably lost.
+    /// Gives up requests that are overdue, hedges or replaces attempts that are probably lost, and
+    /// schedules the next check.
     pub(super) fn check_requests(&mut self, now: Time) {
         let mut overdue = Vec::new();
         let mut lost = Vec::new();
@@ -127,9 +128,10 @@
         }
     }
 
-    /// Whether the only attempt is on a backend that is ejected, unresponsive or gone, while
-    /// another attempt could be in time. Age alone is no reason: hedging requests that are merely
-    /// heavy would overload every backend.
+    /// Whether the only attempt of a request is in flight on a backend that is ejected,
+    /// unresponsive or removed, while another attempt could meet the latency objective and the
+    /// retry budget allows one. The age of the attempt alone is no reason to hedge: hedging
+    /// requests that merely need much work would overload every backend.
     fn is_probably_lost(&self, now: Time, request: &Request) -> bool {
         let [attempt] = &request.attempts[..] else {
             return false;
@@ -140,7 +142,7 @@
         attempt.in_flight && is_down && would_be_in_time && self.retry_budget.is_available()
     }
 
-    /// How long an attempt of the request is expected to take.
+    /// The expected latency of an attempt of a request.
     fn typical_latency(&self, request: &Request) -> Micros {
         let objective = request.objective();
         self.latencies.typical_within(request.class, objective)
--- a/crates/balancer/src/discovery_watch.rs
+++ b/crates/balancer/src/discovery_watch.rs
@@ -1,11 +1,12 @@
-//! The watch on the endpoint list: when this proxy polls discovery, and for how long its list is
-//! fresh.
+//! The watch on the endpoint list: when this proxy polls discovery, and how long its list is fresh.
 //!
-//! All proxies poll one discovery service, which answers one poll after the other. So each proxy
-//! keeps to its part of the poll rate that the service can sustain.
+//! A poll for changes that finds none stays pending until there is one; it is a watch then. All
+//! proxies poll one discovery service, which processes one poll at a time. Each proxy therefore
+//! limits its polls to its part of the rate that the service can sustain.
 //!
-//! - `polling_load` knows what the service can take,
-//! - `poll_backoff` decides how long to wait after a failed poll.
+//! - `polling_load` has the estimated capacity of the service, and the time over which the proxies
+//!   spread their polls.
+//! - `poll_backoff` computes the delay after a failed poll.
 
 mod poll_backoff;
 mod polling_load;
@@ -15,76 +16,79 @@
 use polling_load::{empty_start_spread_secs, must_spread_polls, poll_spread_secs};
 
 /// A proxy counts as notified of a change 6 s after discovery had the change and was reachable,
-/// whether or not a poll succeeded. From then on, a list that may lack the change is stale.
+/// whether or not a poll of the proxy succeeded. From then on, a list that may lack the change is
+/// stale.
 const NOTIFICATION_DEADLINE: Micros = Micros(6_000_000);
-/// An accepted request shows for so long that a backend may be used though the list is stale. A
-/// draining backend may go on accepting requests for a while after its drain was listed. So only
-/// half of the time counts that a proxy has until it counts as notified of a drain.
+/// While the list is stale, a backend may still be used if it accepted a request that was sent less
+/// than this time ago. The time is only half of [`NOTIFICATION_DEADLINE`], because a draining
+/// backend may continue to accept requests for a while after discovery listed it as draining.
 pub(crate) const ACCEPTANCE_LIFETIME: Micros = Micros(NOTIFICATION_DEADLINE.0 / 2);
 /// A poll that fails after at least 1 s was in the service's queue: the service is up, but
-/// overloaded. A poll that fails sooner was rejected or reached nobody, and cost the service
-/// nothing.
+/// overloaded. A poll that fails sooner was rejected or did not reach the service, and cost the
+/// service nothing.
 const MIN_QUEUEING_TIME: Micros = Micros(1_000_000);
-/// A poll that is pending for 4 s without a failure has left the service's queue: it is a watch
-/// that waits for a change. The host ends a poll that must not wait sooner than that, so such a
-/// poll never counts as a watch.
+/// A poll that has been pending for 4 s without a failure has left the service's queue: it is a
+/// watch that waits for a change. The host ends a poll that must not wait for a change, such as one
+/// for the complete list, before that time, so that it never counts as a watch.
 const MAX_QUEUEING_TIME: Micros = Micros(4_000_000);
-/// A poll without a response counts as lost, and is repeated, after this fraction of `poll_within`.
+/// A poll without a response may be lost and is repeated after this fraction of `poll_within`.
 const POLL_TIMEOUT_FRACTION: f64 = 0.5;
-/// A watch that timed out may have missed changes. The proxy counts as notified of these 1.5 s
-/// after the timeout.
+/// A watch that timed out may have missed changes. The proxy counts as notified of these changes
+/// 1.5 s after the timeout.
 const WATCH_TIMEOUT_GRACE: Micros = Micros(1_500_000);
-/// When the first poll is due, unless it is scheduled for later: at once.
-const AT_ONCE: Time = Time(0);
-/// The value of [`DiscoveryWatch::fresh_at`] until the first call after the start of the process.
+/// Due time of the first poll unless it is rescheduled. `Time(0)` is never in the future, so the
+/// poll is due immediately.
+const FIRST_POLL_DUE_AT: Time = Time(0);
+/// The value of [`DiscoveryWatch::fresh_at`] before an event has set it. The first call of
+/// [`DiscoveryWatch::take_due_poll`] replaces it by the time of the call.
 const NOT_STARTED: Time = Time(0);
 
 /// State of the latest poll.
 #[derive(Clone, Copy, Default)]
 enum WatchState {
-    /// It failed, or there was none.
+    /// The latest poll failed or timed out, or none was sent.
     #[default]
     Disconnected,
-    /// It was sent at this time and may be in the service's queue.
+    /// The poll was sent at this time and may be in the service's queue.
     Connecting { sent_at: Time },
-    /// It was answered, or was still pending when the next one was due: it waits for a change.
+    /// The poll waits for a change: it was answered, or was still pending when it was due to be
+    /// repeated.
     Established,
 }
 
 /// What the failure of the latest poll shows about the service.
 #[derive(Clone, Copy)]
 enum PollFailure {
-    /// The poll failed so soon that it was rejected or reached nobody.
+    /// The poll failed so soon that it was rejected or did not reach the service.
     Rejected { sent_at: Time },
-    /// The poll failed in the service's queue.
+    /// The poll failed in the service's queue: the service is overloaded.
     Queued,
-    /// The poll was an established watch, which was in no queue.
+    /// The poll was an established watch, which is not in the queue.
     WatchBroken,
-    /// There was no poll that could fail.
+    /// No poll was pending.
     NothingPending,
 }
 
 /// The schedule of this proxy's polls and the freshness of its endpoint list.
 ///
-/// It owns the state of the latest poll, the time of the next one and the time at which the list
-/// was last known to be complete. It takes the time, the configuration and random numbers as
-/// arguments. It does nothing where discovery pushes the changes.
+/// Callers pass the time, the configuration and random numbers. If discovery pushes the changes,
+/// nothing is ever polled and the list is always fresh.
 #[derive(Default)]
 pub(crate) struct DiscoveryWatch {
     /// When to poll next; `None` if changes arrive without another poll.
     next_poll_at: Option<Time>,
     backoff: PollBackoff,
     state: WatchState,
-    /// The list contains every change that discovery had, and could be polled for, at this time.
+    /// The list contains every change that discovery had at this time and could be polled for.
     fresh_at: Time,
 }
 
 impl DiscoveryWatch {
-    /// Schedules the first poll as early as possible, unless changes are pushed.
+    /// Creates a watch whose first poll is due immediately, unless discovery pushes the changes.
     pub fn new(config: &Config) -> DiscoveryWatch {
         let next_poll_at = match config.discovery {
             DiscoveryMode::Push => None,
-            DiscoveryMode::Watch { .. } => Some(AT_ONCE),
+            DiscoveryMode::Watch { .. } => Some(FIRST_POLL_DUE_AT),
         };
         DiscoveryWatch {
             next_poll_at,
@@ -97,9 +101,9 @@
         self.next_poll_at
     }
 
-    /// The process started, with or without a cached list: spreads the first polls of many proxies
-    /// that may start at the same time. `draw` gives a random number from 0 to 1; it is only called
-    /// if the polls have to be spread.
+    /// Reschedules the first poll when the process has started, with or without a cached list, in
+    /// order to spread the first polls of many proxies that may start at the same time. `draw`
+    /// returns a random number from 0 to 1; it is only called if the polls have to be spread.
     pub fn on_process_started(
         &mut self,
         now: Time,
@@ -110,8 +114,8 @@
         let DiscoveryMode::Watch { poll_within } = config.discovery else {
             return;
         };
-        let is_first_poll_open = self.next_poll_at() == Some(AT_ONCE);
-        if !is_first_poll_open || !must_spread_polls(config) {
+        let has_initial_schedule = self.next_poll_at() == Some(FIRST_POLL_DUE_AT);
+        if !has_initial_schedule || !must_spread_polls(config) {
             return;
         }
         let spread_secs = if has_cached_list {
@@ -122,8 +126,8 @@
         self.next_poll_at = Some(now + Micros::from_secs(spread_secs * draw()));
     }
 
-    /// A poll or an established watch failed: schedules the next poll. `random` is a number from 0
-    /// to 1.
+    /// Schedules the next poll after a poll or an established watch failed. `random` is a random
+    /// number from 0 to 1.
     pub fn on_watch_failed(&mut self, now: Time, config: &Config, random: f64) {
         let DiscoveryMode::Watch { poll_within } = config.discovery else {
             return;
@@ -135,7 +139,7 @@
             PollFailure::Queued if must_spread_polls(config) => {
                 self.backoff.after_queueing(config, random)
             }
-            // All proxies may have lost their watches at the same time.
+            // All proxies may have lost their watches at the same time: their polls are spread.
             PollFailure::WatchBroken if must_spread_polls(config) => {
                 Micros::from_secs(poll_spread_secs(config) * random)
             }
@@ -144,7 +148,7 @@
         self.next_poll_at = Some(now + delay);
     }
 
-    /// What a failure at this time shows, by the state of the latest poll.
+    /// Determines from the state of the latest poll what its failure at `now` shows.
     fn classify_failure(&self, now: Time) -> PollFailure {
         if self.is_watching(now) {
             return PollFailure::WatchBroken;
@@ -159,24 +163,24 @@
         }
     }
 
-    /// Takes in what a failure says about the freshness of the list.
+    /// Updates the freshness of the list after a failure.
     fn extend_freshness(&mut self, now: Time, failure: PollFailure) {
         match failure {
-            // Discovery was unreachable when the poll was sent. The deadline for changes that it
-            // has while it is unreachable only starts when it returns.
+            // Discovery was unreachable when the poll was sent. For changes that it has while it is
+            // unreachable, the notification deadline starts only when it is reachable again.
             PollFailure::Rejected { sent_at } => self.fresh_at = sent_at,
-            // Up to now the watch would have reported any change.
+            // The watch would have reported any change until now.
             PollFailure::WatchBroken => self.fresh_at = now,
             PollFailure::Queued | PollFailure::NothingPending => {}
         }
     }
 
-    /// A watch timed out without a response: schedules the next poll at once.
+    /// Schedules an immediate poll after a poll or watch timed out without a response.
     ///
-    /// The timeout shows nothing about the service. The changes that the watch missed count as
-    /// notified shortly after it, so the proxy has to poll before that. The polls need not be
-    /// spread: timeouts differ between proxies, so those whose watches stall together do not poll
-    /// together.
+    /// The timeout shows nothing about the state of the service. The proxy counts as notified of
+    /// the changes that the watch missed shortly after the timeout, and has to poll before that.
+    /// The polls of different proxies need not be spread: their timeouts differ, so that proxies
+    /// whose watches stall at the same time do not poll at the same time.
     pub fn on_watch_timed_out(&mut self, now: Time, config: &Config) {
         if config.discovery == DiscoveryMode::Push {
             return;
@@ -189,7 +193,7 @@
         self.next_poll_at = Some(now);
     }
 
-    /// The list or its changes arrived; the watch stays established.
+    /// Records that the complete list or changes of it arrived; the watch remains established.
     pub fn on_endpoints_received(&mut self, now: Time) {
         self.state = WatchState::Established;
         self.fresh_at = now;
@@ -197,7 +201,8 @@
         self.next_poll_at = None;
     }
 
-    /// Whether to poll now; if so, the poll counts as sent.
+    /// Whether a poll is due. If so, records it as sent now and schedules its repetition in case no
+    /// response arrives.
     pub fn take_due_poll(&mut self, now: Time, config: &Config) -> bool {
         let DiscoveryMode::Watch { poll_within } = config.discovery else {
             return false;
@@ -216,14 +221,15 @@
         is_due
     }
 
-    /// Whether the list contains every change that this proxy counts as notified of.
+    /// Whether the list contains every change of which this proxy counts as notified.
     pub fn is_fresh(&self, now: Time, config: &Config) -> bool {
         let is_pushed = config.discovery == DiscoveryMode::Push;
         is_pushed || self.is_watching(now) || now - self.fresh_at < NOTIFICATION_DEADLINE
     }
 
-    /// What is known of the list, if no answer of discovery confirms it: the list is stale, or the
-    /// latest poll has not been answered and only counts as a watch.
+    /// How old the list is, if no response of discovery confirms it: either the list is stale, or
+    /// the latest poll only counts as a watch because it has been pending for long. `None` if the
+    /// list is confirmed.
     pub fn unconfirmed_list(&self, now: Time, config: &Config) -> Option<UnconfirmedList> {
         let is_pushed = config.discovery == DiscoveryMode::Push;
         if is_pushed || now - self.fresh_at < NOTIFICATION_DEADLINE {
@@ -240,8 +246,8 @@
         })
     }
 
-    /// Whether the latest poll waits for a change: it was answered, or has left the service's
-    /// queue.
+    /// Whether the latest poll waits for a change: it was answered, or has been pending for so long
+    /// that it has left the service's queue.
     fn is_watching(&self, now: Time) -> bool {
         match self.state {
             WatchState::Established => true,
--- a/crates/balancer/src/discovery_watch/poll_backoff.rs
+++ b/crates/balancer/src/discovery_watch/poll_backoff.rs
@@ -1,45 +1,43 @@
-//! The backoff between a failed poll of discovery and the next poll.
+//! The delay between a failed poll of discovery and the next poll.
 
 use super::polling_load::{must_spread_polls, poll_round_secs, POLL_DEADLINE_SECS};
 use crate::{Config, Micros};
 
 /// Shortest backoff after a rejected poll.
 const MIN_BACKOFF_SECS: f64 = 0.1;
-/// Longest backoff after a rejected poll, as a fraction of `poll_within`. Where
-/// [`MAX_BACKOFF_SECS_PER_PROXY`] gives a longer time, that one holds.
+/// Longest backoff after a rejected poll, as a fraction of `poll_within`. The longer of this time
+/// and the one by [`MAX_BACKOFF_SECS_PER_PROXY`] is used.
 const MAX_BACKOFF_FRACTION: f64 = 0.125;
-/// Longest backoff after a rejected poll, for each proxy of the fleet. Where
-/// [`MAX_BACKOFF_FRACTION`] gives a longer time, that one holds.
+/// Longest backoff after a rejected poll, in seconds per proxy of the fleet. The longer of this
+/// time and the one by [`MAX_BACKOFF_FRACTION`] is used.
 const MAX_BACKOFF_SECS_PER_PROXY: f64 = 0.0225;
 /// Factor by which the backoff grows with each failure.
 const BACKOFF_MULTIPLIER: f64 = 2.0;
-/// Largest fraction of the backoff after a rejected poll that is taken off at random. A larger
-/// fraction would shorten the mean backoff, so that more polls would meet a queue when the service
-/// returns. A small one suffices, because rejected polls are spread out already.
+/// Largest fraction of the backoff after a rejected poll that is subtracted at random. A larger
+/// fraction would shorten the mean backoff, so that more polls would queue up when the service
+/// returns. A small fraction is enough, because rejected polls are already spread over time.
 const JITTER_FRACTION: f64 = 0.2;
-/// Shortest backoff after a poll that failed in the service's queue, in poll rounds. The longest is
-/// one round: in that time the queue empties even if no poll succeeds.
+/// Smallest upper bound of the random backoff after a poll that failed in the service's queue, in
+/// poll rounds. The largest bound is one round: in that time the queue empties even if no poll
+/// succeeds.
 const MIN_QUEUE_BACKOFF_ROUNDS: f64 = 0.5;
 
-/// The backoff between polls.
-///
-/// It owns the latest backoff, from which the next one grows. It takes the configuration and a
-/// random number from 0 to 1 as arguments.
+/// The exponential backoff between polls. `random` arguments are random numbers from 0 to 1.
 #[derive(Default)]
 pub(super) struct PollBackoff {
-    /// The latest backoff before its random part, in seconds; 0 after a response.
+    /// The latest backoff before its random reduction, in seconds; 0 after a response.
     latest_secs: f64,
 }
 
 impl PollBackoff {
-    /// Starts anew after a response.
+    /// Resets the backoff after a response.
     pub fn reset(&mut self) {
         self.latest_secs = 0.0;
     }
 
-    /// The time until the next poll, after one that failed in the service's queue. Polls that fail
-    /// in this way are repeated within the time in which the queue empties, even if the list goes
-    /// stale: sooner, they would keep the queue full.
+    /// The time until the next poll after a poll that failed in the service's queue. Such polls are
+    /// repeated at random times within the time in which the queue empties, even if the list
+    /// becomes stale meanwhile: repeated sooner, they would keep the queue full.
     pub fn after_queueing(&mut self, config: &Config, random: f64) -> Micros {
         let longest = poll_round_secs(config);
         let shortest = longest * MIN_QUEUE_BACKOFF_ROUNDS;
@@ -47,10 +45,10 @@
         Micros::from_secs(self.latest_secs * random)
     }
 
-    /// The time until the next poll, after one that was rejected or reached nobody. The first
-    /// backoff is short, because a single poll may be reset by chance. If polls keep failing in a
-    /// large fleet, the second backoff is the longest one at once: a slow increase would send a
-    /// returning service more polls a second than it can take.
+    /// The time until the next poll after a poll that was rejected or did not reach the service.
+    /// The first backoff is short, because a single poll may be reset by chance. In a large
+    /// fleet, the second backoff is already the longest one: if it grew slowly, a service that
+    /// returns would get more polls per second than it can process.
     pub fn after_rejection(&mut self, config: &Config, poll_within: Micros, random: f64) -> Micros {
         let longest = max_rejection_backoff_secs(config, poll_within);
         let has_failed_before = self.latest_secs > 0.0;
--- a/crates/balancer/src/discovery_watch/poll_backoff/tests.rs
+++ b/crates/balancer/src/discovery_watch/poll_backoff/tests.rs
@@ -9,7 +9,7 @@
     }
 }
 
-/// The backoffs, in milliseconds, after so many rejections in succession.
+/// The backoffs after `rejections` consecutive rejected polls, in milliseconds.
 fn after_rejections(proxy_count: u32, random: f64, rejections: usize) -> Vec<u64> {
     let config = fleet(proxy_count);
     let mut backoff = PollBackoff::default();
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn up_to_a_fifth_of_a_rejection_backoff_is_taken_off_at_random() {
+fn a_rejection_backoff_is_reduced_by_up_to_a_fifth_at_random() {
     assert_eq!(after_rejections(4, 0.5, 3), [90, 180, 360]);
     assert_eq!(after_rejections(4, 1.0, 3), [80, 160, 320]);
 }
 
 #[test]
-fn the_backoff_after_queueing_is_random_within_half_a_round_and_then_within_a_whole_one() {
+fn the_backoff_after_queueing_is_random_within_half_a_poll_round_and_then_within_one_round() {
     let config = fleet(100);
     let mut backoff = PollBackoff::default();
     assert_eq!(backoff.after_queueing(&config, 1.0), Micros(4_000_000));
--- a/crates/balancer/src/discovery_watch/tests.rs
+++ b/crates/balancer/src/discovery_watch/tests.rs
@@ -3,7 +3,7 @@
 const POLL_WITHIN: Micros = Micros(10_000_000);
 const START: Time = Time(1_000_000_000);
 
-/// One of so many proxies that watch discovery.
+/// The configuration of one of `proxy_count` proxies that watch discovery.
 fn watching(proxy_count: u32) -> Config {
     Config {
         proxy_count,
@@ -18,7 +18,7 @@
     START + Micros(millis * 1_000)
 }
 
-/// A watch whose first poll has been sent at the start.
+/// A watch whose first poll was sent at [`START`].
 fn polling(config: &Config) -> DiscoveryWatch {
     let mut watch = DiscoveryWatch::new(config);
     assert!(watch.take_due_poll(START, config));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_watch_that_timed_out_polls_at_once_and_stays_fresh_for_a_moment() {
+fn a_watch_that_timed_out_polls_immediately_and_its_list_stays_fresh_for_1500_ms() {
     let config = watching(1_000);
     let mut watch = polling(&config);
     watch.on_endpoints_received(millis_after_start(10));
@@ -100,7 +100,7 @@
         let config = watching(proxy_count);
         let mut watch = DiscoveryWatch::new(&config);
         watch.on_process_started(START, &config, has_cached_list, || 0.5);
-        watch.next_poll_at().expect("a poll") - START
+        watch.next_poll_at().expect("a poll is scheduled") - START
     };
     assert_eq!(first_poll_after(20, true), Micros(800_000));
     assert_eq!(first_poll_after(1_000, true), Micros(2_500_000));
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn few_proxies_poll_at_once_and_draw_no_random_number() {
+fn up_to_four_proxies_poll_immediately_and_draw_no_random_number() {
     let config = watching(4);
     let mut watch = DiscoveryWatch::new(&config);
-    watch.on_process_started(START, &config, true, || panic!("a draw"));
+    watch.on_process_started(START, &config, true, || panic!("a random number was drawn"));
     assert!(watch.take_due_poll(START, &config));
 }
--- a/crates/balancer/src/idle_connections.rs
+++ b/crates/balancer/src/idle_connections.rs
@@ -1,60 +1,58 @@
 //! The limit on idle connections that this proxy keeps to all backends together.
 //!
 //! A backend accepts a limited number of connections, and no setting gives that number. A
-//! connection that one proxy keeps idle for its next request is one that another proxy cannot open.
-//! There is no limit until a backend rejects a connection. Then each proxy closes a part of its
-//! idle connections and lets the limit grow again slowly. This multiplicative decrease and slow
-//! increase brings proxies that do not communicate to similar numbers of connections.
+//! connection that one proxy keeps idle cannot be opened by another proxy. A proxy starts without a
+//! limit. When a backend rejects a new connection of it, it sets a limit that makes the host close
+//! a part of the idle connections, and then lets the limit grow slowly. This multiplicative
+//! decrease and slow increase makes the numbers of connections of proxies that do not communicate
+//! converge.
 
 use crate::{Micros, Time};
 
-/// Fraction of the idle connections that is kept after a backend has rejected a new connection.
+/// Fraction of the idle connections that is kept when a backend rejects a new connection.
 const REDUCTION_FACTOR: f64 = 0.5;
-/// Shortest time between two reductions, 250 ms: the connections that other proxies close have to
-/// take effect first.
+/// Shortest time between two reductions, 250 ms: the reductions that other proxies make at the same
+/// time have to take effect first.
 const MIN_REDUCTION_INTERVAL: Micros = Micros(250_000);
-/// Growth of the limit in connections a second. Together with [`RELATIVE_GROWTH_PER_SECOND`] it
-/// leads to a rejection every few seconds. Each rejection costs one attempt, which is rejected
-/// before its execution.
+/// Growth of the limit in connections per second. Together with [`RELATIVE_GROWTH_PER_SECOND`] it
+/// leads to a rejected connection every few seconds. Each of them costs one attempt, which is
+/// rejected before it is executed.
 const GROWTH_PER_SECOND: f64 = 0.5;
-/// Growth of the limit a second, as a fraction of the limit.
+/// Growth of the limit per second, as a fraction of the limit.
 const RELATIVE_GROWTH_PER_SECOND: f64 = 0.05;
-/// The limit that the host is given when there is none.
+/// The value that tells the host that there is no limit.
 const UNLIMITED: u32 = u32::MAX;
 
-/// The limit on idle connections.
-///
-/// It owns the limit and the times at which it last changed. It takes the time, the number of idle
-/// connections and the number of backends as arguments.
+/// The limit on idle connections, and the times at which it last changed.
 #[derive(Default)]
 pub(crate) struct IdleConnectionLimit {
-    /// The limit; `None` while no backend is short of connections.
+    /// The limit; `None` if there is none, because no backend has rejected a connection lately.
     max_idle: Option<f64>,
     /// When the limit was last reduced.
     reduced_at: Time,
-    /// Up to when growth is included in the limit.
+    /// The limit includes its growth up to this time.
     grown_at: Time,
-    /// The limit that the host was last given.
-    announced: Option<u32>,
+    /// The limit that was last reported to the host.
+    reported: Option<u32>,
 }
 
 impl IdleConnectionLimit {
-    /// Reduces the limit: a backend rejected a new connection while this proxy held
+    /// Reduces the limit after a backend rejected a new connection while this proxy held
     /// `idle_connections`.
     pub fn on_connection_rejected(&mut self, now: Time, idle_connections: u32) {
         let held = f64::from(idle_connections);
-        let relevant = match self.max_idle {
+        let current = match self.max_idle {
             Some(_) if now - self.reduced_at < MIN_REDUCTION_INTERVAL => return,
             Some(limit) => limit.min(held),
             None => held,
         };
-        self.max_idle = Some(relevant * REDUCTION_FACTOR);
+        self.max_idle = Some(current * REDUCTION_FACTOR);
         self.reduced_at = now;
         self.grown_at = now;
     }
 
-    /// Lets the limit grow; it is lifted once it exceeds one idle connection for each of the
-    /// backends.
+    /// Lets the limit grow with the time since the last change. Removes it when it exceeds the
+    /// number of backends, that is, one idle connection for each backend.
     pub fn grow(&mut self, now: Time, backend_count: usize) {
         let elapsed_secs = (now - self.grown_at).secs();
         self.grown_at = now;
@@ -63,17 +61,18 @@
         };
         let growth_per_second = GROWTH_PER_SECOND + RELATIVE_GROWTH_PER_SECOND * limit;
         let grown = limit + growth_per_second * elapsed_secs;
-        let is_in_force = grown <= backend_count as f64;
-        self.max_idle = is_in_force.then_some(grown);
+        let is_limiting = grown <= backend_count as f64;
+        self.max_idle = is_limiting.then_some(grown);
     }
 
-    /// The limit if it differs from the one that the host was last given; `u32::MAX` lifts it.
+    /// Returns the limit if it differs from the one last reported to the host, and counts it as
+    /// reported. `u32::MAX` means that there is no limit.
     pub fn take_change(&mut self) -> Option<u32> {
         let max_idle = self.max_idle.map(|limit| limit as u32);
-        if max_idle == self.announced {
+        if max_idle == self.reported {
             return None;
         }
-        self.announced = max_idle;
+        self.reported = max_idle;
         Some(max_idle.unwrap_or(UNLIMITED))
     }
 }
--- a/crates/balancer/src/idle_connections/tests.rs
+++ b/crates/balancer/src/idle_connections/tests.rs
@@ -7,7 +7,7 @@
     START + Micros(seconds * 1_000_000)
 }
 
-/// A limit that has just been reduced to half of these connections, and was announced.
+/// A limit that was reduced at [`START`] to half of `idle_connections` and reported to the host.
 fn reduced_from(idle_connections: u32) -> IdleConnectionLimit {
     let mut limit = IdleConnectionLimit::default();
     limit.on_connection_rejected(START, idle_connections);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_limit_is_announced_once() {
+fn a_limit_is_reported_to_the_host_once() {
     let mut limit = reduced_from(40);
     assert_eq!(limit.take_change(), None);
 }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_limit_grows_by_half_a_connection_and_a_twentieth_of_it_a_second() {
+fn the_limit_grows_per_second_by_half_a_connection_and_a_twentieth_of_itself() {
     let mut limit = reduced_from(40);
     limit.grow(seconds_after_start(2), BACKENDS);
     assert_eq!(limit.take_change(), Some(23));
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,5 +1,5 @@
-//! The balancer's interface: its configuration, the events that it takes and the actions that it
-//! returns.
+//! The types that a host and a balancer exchange: the configuration, the events that the host
+//! reports and the actions that the balancer returns.
 
 mod action;
 mod config;
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -1,59 +1,60 @@
-//! Actions: what the balancer requests from its host.
+//! Actions: the operations that the balancer requests from its host.
 
 use crate::{AttemptNumber, BackendId, Micros, Outcome, RequestId, Time, TimerToken};
 
-/// What the balancer requests from its host. The host carries actions out in the order in which it
-/// gets them.
+/// An operation that the balancer requests from its host. The host executes actions in the order in
+/// which the balancer returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a request. Its number is the count of the request's earlier
-    /// attempts; it may last until the client gives up.
+    /// Start the next attempt of a request. The number of the attempt is the count of the request's
+    /// earlier attempts. The attempt may last until the client's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// The backend to forward it to.
+        /// The backend to which the request is forwarded.
         backend: BackendId,
     },
-    /// Respond to the client that the request was rejected: a retry is safe, because the request
-    /// was not executed or because executing it twice does no harm.
+    /// Respond to the client that the request was rejected. The client may retry safely, because
+    /// either the request was not executed or executing it twice does no harm.
     Reject {
         /// The request.
         request: RequestId,
     },
-    /// Respond to the client that the request failed and may have been executed.
+    /// Respond to the client that the request failed. It may have been executed, so a retry may
+    /// not be safe.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Report an [`Event::Timer`](crate::Event::Timer) later.
+    /// Set a timer: report an [`Event::Timer`](crate::Event::Timer) when the time is over.
     SetTimer {
-        /// The token that the event is to carry.
+        /// The token to report in the event.
         token: TimerToken,
         /// Time from now; at least [`Config::tick`](crate::Config::tick).
         after: Micros,
     },
-    /// Keep a limited number of idle connections to all backends together.
+    /// Limit the idle connections to all backends together.
     LimitIdleConnections {
-        /// The limit; `u32::MAX` lifts it.
+        /// Largest number of idle connections; `u32::MAX` removes the limit.
         max_idle: u32,
     },
-    /// Poll discovery for the endpoint list and watch it from now on.
+    /// Poll discovery for the endpoint list, then keep a watch on it for changes.
     WatchEndpoints,
-    /// Write a line to the operators' log.
+    /// Write a line to the log.
     Log(LogEvent),
 }
 
-/// What the balancer reports to the operators' log.
+/// An event that the balancer writes to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A backend was ejected: it gets no requests for a while.
+    /// A backend was ejected: for a limited time, it gets no requests.
     BackendEjected {
         /// The backend.
         backend: BackendId,
@@ -65,36 +66,37 @@
     /// A poll of discovery or the watch on the endpoint list timed out; the balancer will poll
     /// again.
     WatchTimedOut,
-    /// A request is sent although no answer of discovery confirms the endpoint list. Operators need
-    /// it only to trace such a request: it may occur for every request, and does not count against
-    /// the limit on log lines.
+    /// A request is sent although no response of discovery confirms the endpoint list. The event is
+    /// meant for tracing single requests. It may occur for every request and is exempt from the
+    /// rate limit on log lines.
     UnconfirmedListUsed {
         /// The request.
         request: RequestId,
-        /// The backend that it is sent to.
+        /// The backend to which the request is sent.
         backend: BackendId,
         /// The newest request that the backend has served.
         accepted: Option<Acceptance>,
-        /// What is known of the list.
+        /// How old the list is, and whether a poll is pending.
         list: UnconfirmedList,
     },
 }
 
-/// A request that a backend has served.
+/// Evidence that a backend accepted requests: a request that it has served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acceptance {
-    /// When it was sent: the backend accepted requests then. Its drain may have been listed
-    /// already.
+    /// When the request was sent. The backend accepted requests at that time, but discovery may
+    /// already have listed it as draining.
     pub sent_at: Time,
-    /// When the connection was established on which it was sent, if the host knows that.
+    /// When the connection was established on which the request was sent; `None` if the host does
+    /// not know.
     pub connected_at: Option<Time>,
 }
 
-/// An endpoint list that no answer of discovery confirms.
+/// An endpoint list that no response of discovery confirms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedList {
-    /// The list contains every change that discovery had, and could be polled for, at this time.
+    /// The list contains every change that discovery had at this time and could be polled for.
     pub fresh_at: Time,
-    /// When the poll was sent that has not been answered; `None` if no poll is under way.
+    /// When the pending poll was sent; `None` if no poll is pending.
     pub poll_sent_at: Option<Time>,
 }
--- a/crates/balancer/src/interface/config.rs
+++ b/crates/balancer/src/interface/config.rs
@@ -1,23 +1,26 @@
-//! The configuration that a balancer is created with.
+//! The configuration of a balancer.
 //!
-//! A deployment gives it as JSON, which [`settings::read`](crate::settings::read) reads. Weights
-//! and costs are relative to each other and have no unit.
+//! [`settings::read`](crate::settings::read) reads it from the JSON settings of a deployment.
+//!
+//! Weights and costs have no unit; only their ratios matter. They define the operators' objective,
+//! which the balancer tries to maximize: a weighted sum of how well all traffic is served and how
+//! well the worst-served class is served, less the cost of requests that cross zones.
 
 use crate::{Micros, ZoneId};
 
-/// What a setting from 0 to 1 is expected to be.
+/// The expectation that [`ConfigError`] reports for a setting from 0 to 1.
 const FRACTION: &str = "a fraction from 0 to 1";
 
-/// Everything that is known when a balancer is created.
+/// The configuration of one proxy's balancer. It does not change while the balancer runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Number of proxies that share the traffic, this one included.
+    /// Number of proxies that share the traffic, including this one.
     pub proxy_count: u32,
-    /// Index of this proxy among them, from 0.
+    /// Index of this proxy among the proxies, from 0.
     pub proxy_index: u32,
-    /// The proxy's own zone.
+    /// The zone in which this proxy runs.
     pub zone: ZoneId,
-    /// Number of zones.
+    /// Number of zones in the deployment.
     pub zone_count: u32,
     /// The traffic classes; a [`ClassId`](crate::ClassId) is an index into them.
     pub classes: Vec<Class>,
@@ -25,65 +28,67 @@
     pub tenants: Vec<Tenant>,
     /// Weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// Weight of all traffic together in the operators' objective, from 0 to 1.
+    /// Weight of the traffic of all classes together in the operators' objective, from 0 to 1.
     pub overall_goal_weight: f64,
     /// Weight of the worst-served class in the operators' objective, from 0 to 1.
     pub worst_class_goal_weight: f64,
-    /// What the objective loses if every request crosses zones once; 0 if zones do not matter.
+    /// Decrease of the operators' objective if every request crosses zones once; 0 if crossing
+    /// zones costs nothing, so that zones are not taken into account.
     pub cross_zone_cost: f64,
-    /// How the endpoint list arrives.
+    /// How the balancer receives the endpoint list.
     pub discovery: DiscoveryMode,
     /// Whether the weights of the endpoint list are load reports. Such a weight is the backend's
-    /// nominal size divided by (1 + requests in flight per core); it lags behind the load.
+    /// nominal size divided by (1 + requests in flight per core). It lags behind the actual load.
     pub live_weights: bool,
-    /// Attempts allowed per request, the first one included.
+    /// Maximum number of attempts per request, including the first one.
     pub max_attempts: u32,
-    /// Whether attempts may be cancelled.
+    /// Whether the balancer may cancel attempts in flight.
     pub cancellation_allowed: bool,
-    /// Whether two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Granularity of the host's timers: the balancer sets none that is shorter.
+    /// Granularity of the host's timers: the balancer sets no timer that is shorter.
     pub tick: Micros,
-    /// Fraction of its capacity that a backend has at least when it starts.
+    /// Least capacity of a backend that has just started, as a fraction of its full capacity.
     pub slow_start_floor: f64,
     /// Time after its start within which a backend reaches its full capacity.
     pub slow_start_duration: Micros,
-    /// A backend in slow start fails if, over the [`overload_window`](Config::overload_window), it
-    /// is sent more than this multiple of the work that it can do at present.
+    /// A backend in slow start fails if, within an [`overload_window`](Config::overload_window), it
+    /// is sent more than this multiple of the work that its present capacity allows.
     pub overload_multiple: f64,
     /// The time over which the work sent to a backend in slow start is compared with its capacity;
-    /// 0 if no load makes it fail.
+    /// 0 if backends in slow start do not fail under load.
     pub overload_window: Micros,
 }
 
 /// A traffic class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A response within this time after the arrival has the full weight.
+    /// A response within this time after the arrival of the request counts with its full weight.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the request's work hint.
+    /// This multiple of a request's work hint is added to its latency objective.
     pub objective_per_work: f64,
-    /// Whether a request may be executed more than once.
+    /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
     /// The weight of a request in the operators' objective.
     pub priority_weight: f64,
-    /// The fraction of that weight that a response after the latency objective still has.
+    /// The weight of a response after the latency objective, as a fraction of the weight of a
+    /// response within it.
     pub late_weight: f64,
 }
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated at any time.
+    /// The request may be repeated at any time.
     Idempotent,
     /// Requests have idempotency keys, by which the backends of one scope discard duplicates.
     IdempotencyKey {
         /// Which backends discard each other's duplicates.
         scope: KeyScope,
-        /// How long they remember a key, from the first send.
+        /// How long the backends remember a key, counted from the time of the first send.
         window: Micros,
     },
-    /// It must not be repeated if it may have been executed.
+    /// The request must not be repeated if it may have been executed.
     NonIdempotent,
 }
 
@@ -108,22 +113,24 @@
     Cell,
 }
 
-/// A tenant: a customer whose requests have a common quota.
+/// A tenant: a customer whose requests share one quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all proxies, that have full weight.
+    /// Requests per second, over all proxies, that count with their full weight. Requests beyond
+    /// this rate have the weight [`Config::over_quota_weight`].
     pub quota_per_s: f64,
 }
 
-/// How the endpoint list arrives.
+/// How the balancer receives the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed; the balancer never polls.
+    /// Discovery pushes all changes; the balancer never polls.
     Push,
-    /// Changes arrive while a watch is open, which the balancer requests by
+    /// Discovery sends changes only while a watch is open. The balancer opens one with
     /// [`Action::WatchEndpoints`](crate::Action::WatchEndpoints).
     Watch {
-        /// A proxy that does not poll counts as notified of a change after this time.
+        /// Time within which a proxy has to poll: after it, a proxy counts as notified of a change
+        /// even if it has not polled.
         poll_within: Micros,
     },
 }
@@ -165,7 +172,7 @@
     ///
     /// # Errors
     ///
-    /// The first field that is not, by its path in the deployment's settings.
+    /// Reports the first field that is out of its range, by its path in the deployment's settings.
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.validate_fleet()?;
         self.classes.iter().try_for_each(Class::validate)?;
@@ -259,13 +266,13 @@
     }
 }
 
-/// A configuration was rejected.
+/// A setting is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{setting}: expected {expected}")]
 pub struct ConfigError {
     /// The setting that is out of its range, by its path in the deployment's settings.
     pub setting: &'static str,
-    /// What was expected of it.
+    /// The values that are allowed, such as `at least 1`.
     pub expected: &'static str,
 }
 
--- a/crates/balancer/src/interface/endpoint.rs
+++ b/crates/balancer/src/interface/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: its entries and the kinds of update that discovery sends.
+//! The endpoint list: its entries, and the kinds of update that the host reports.
 
 use crate::{BackendId, CellId, MachineTypeId, Time, ZoneId};
 
@@ -7,44 +7,46 @@
 pub struct Endpoint {
     /// The backend that the entry describes.
     pub id: BackendId,
-    /// Its availability zone.
+    /// The backend's availability zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The backend's cell.
     pub cell: CellId,
-    /// Its machine type.
+    /// The backend's machine type.
     pub machine_type: MachineTypeId,
-    /// Whether it accepts new requests.
+    /// Whether the backend accepts new requests.
     pub state: BackendState,
-    /// When its process last started; `None` if long ago.
+    /// When the backend's process last started; `None` if so long ago that it is past its slow
+    /// start.
     pub started_at: Option<Time>,
-    /// The entry's weight; only the weights of one machine type can be compared. The balancer uses
-    /// it if [`Config::live_weights`](crate::Config::live_weights) is set.
+    /// The backend's weight. Only the weights of backends of the same machine type are comparable.
+    /// The balancer uses it only if [`Config::live_weights`](crate::Config::live_weights) is set.
     pub weight: f64,
 }
 
 /// Whether a backend accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// It accepts requests.
+    /// The backend accepts requests.
     Ready,
-    /// It accepts no new requests and finishes those that it has.
+    /// The backend accepts no new requests and finishes the ones that it has.
     Draining,
-    /// It has left the fleet.
+    /// The backend has left the fleet.
     #[default]
     Removed,
 }
 
-/// What a watch event or the end of a watch says about the endpoint list.
+/// How an event of the watch on discovery changes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The entries that changed.
+    /// The update contains only the entries that changed.
     Delta,
-    /// The complete list; an absent backend has been removed.
+    /// The update is the complete list; a backend that is not in it has been removed.
     Snapshot,
-    /// The complete list as it was cached before this proxy restarted, possibly stale.
+    /// The update is the complete list as this proxy cached it before it restarted. It may be
+    /// stale, or empty if there was no cached list.
     Cached,
-    /// The poll or the watch failed; the current list stays in force.
+    /// The poll or the watch failed; the current list remains in use.
     WatchFailed,
-    /// The poll or the watch timed out without a response; the current list stays in force.
+    /// The poll or the watch timed out without a response; the current list remains in use.
     WatchTimedOut,
 }
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -1,26 +1,30 @@
-//! Events: what the host reports to the balancer.
+//! Events: the occurrences that the host reports to the balancer.
 
 use crate::{
     AttemptNumber, ClassId, Endpoint, EndpointUpdate, Micros, RequestId, TenantId, Time, TimerToken,
 };
 
-/// What the host reports to the balancer.
+/// An occurrence that the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list changed, or the watch on it ended.
+    /// The endpoint list changed, or a poll of discovery or the watch on the list ended.
     EndpointsUpdated {
         /// How `endpoints` relate to the current list.
         update: EndpointUpdate,
-        /// The entries.
+        /// The entries of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request arrived. The balancer returns one
-    /// [`Action::Reject`](crate::Action::Reject) or [`Action::Fail`](crate::Action::Fail) for it,
-    /// unless an attempt succeeds, whose response the host forwards, the host reports it as
-    /// settled, or its client disconnects. A request with an unknown class or the id of an open
+    /// A client's request arrived. A request with an unknown class or with the id of an open
     /// request is ignored.
+    ///
+    /// Later the balancer returns one [`Action::Reject`](crate::Action::Reject) or
+    /// [`Action::Fail`](crate::Action::Fail) for the request, unless
+    /// - an attempt succeeds, whose response the host forwards to the client,
+    /// - the host reports the request as settled ([`AttemptEnd::settled`]), or
+    /// - the client disconnects.
     Request(Arrival),
-    /// The response is being streamed to the client: the attempt has no timeout any more.
+    /// The host has begun to stream the response to the client. From then on the balancer neither
+    /// times the request out nor hedges it.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -29,20 +33,20 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A backend rejected a new connection because it has too many; the end of the attempt is
-    /// another event.
+    /// A backend rejected a new connection because it has too many. The host reports the end of
+    /// the attempt as a separate event.
     ConnectionRejected {
-        /// Idle connections that this proxy held at that moment.
+        /// Number of idle connections that this proxy held at that time.
         idle_connections: u32,
     },
-    /// The client disconnected; its request needs no response any more.
+    /// The client disconnected; its request no longer needs a response.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer expired.
     Timer {
-        /// The token that was given to [`Action::SetTimer`](crate::Action::SetTimer).
+        /// The token from [`Action::SetTimer`](crate::Action::SetTimer).
         token: TimerToken,
     },
 }
@@ -50,17 +54,17 @@
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// The id of the request.
     pub request: RequestId,
-    /// Its traffic class.
+    /// The request's traffic class.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// The tenant that the request belongs to, if any.
     pub tenant: Option<TenantId>,
-    /// Time until the client gives up.
+    /// Time from the arrival until the client stops waiting for a response.
     pub time_left: Micros,
-    /// The expected work as processor time on a standard core, if the client gave it.
+    /// The expected work as processor time on a standard core, if the client sent this hint.
     pub work_hint: Option<Micros>,
-    /// The client marked the request as a retry of an earlier one.
+    /// Whether the client marked the request as a retry of an earlier one.
     pub is_retry: bool,
 }
 
@@ -71,14 +75,15 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since the dispatch.
+    /// Time from the dispatch to the end of the attempt.
     pub latency: Micros,
-    /// Whether the request already had its final response, so that the balancer gives none.
+    /// Whether the request already had its final response, so that the balancer must not return
+    /// one.
     pub settled: bool,
-    /// When the connection was established on which the request was sent: the process that served
-    /// it has run since then. `None` if the host does not know.
+    /// When the connection was established on which the request was sent. The process that served
+    /// the request has been running at least since then. `None` if the host does not know.
     pub connected_at: Option<Time>,
 }
 
@@ -91,17 +96,18 @@
     Error,
     /// The backend rejected the request without processing it.
     Rejected,
-    /// No response arrived in time; the request may have been or still be executed.
+    /// No response arrived in time; the request may have been executed or may still be executing.
     TimedOut,
     /// The connection could not be established, or it broke before the request was completely
     /// written.
     ConnectFailed,
     /// The connection broke; the request may have been executed.
     Reset,
-    /// The attempt was cancelled; the request may have been executed. Hosts report responses with a
-    /// client error (status 4xx) in this way too: they say nothing of the backend.
+    /// The attempt was cancelled; the request may have been executed. Hosts also report a response
+    /// with a client error (status 4xx) as this outcome, because such a response says nothing about
+    /// the health of the backend.
     Cancelled,
-    /// The attempt ended before any of it was sent.
+    /// The attempt ended before any part of the request was sent.
     NotSent,
 }
 
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,8 +1,9 @@
 //! Identifiers.
 //!
-//! The host assigns all of them except timer tokens and attempt numbers. Backend ids must be the
-//! same in all proxies: slow-start quotas, concurrency limits and subsets are computed from them.
-//! Class and tenant ids are indexes into the configuration. The balancer only compares all others.
+//! The host assigns all identifiers except timer tokens and attempt numbers. A backend must have
+//! the same id in all proxies, because slow-start quotas, concurrency limits and subsets are
+//! computed from these ids. Class and tenant ids are indexes into the configuration. The balancer
+//! uses all other ids only for comparison.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -13,9 +14,9 @@
 }
 
 ids! {
-    /// One client request; never reused.
+    /// A client request; the host never reuses an id.
     RequestId(u64);
-    /// A backend, by its name; every proxy uses the same number for it.
+    /// A backend; all proxies use the same id for it, which is derived from the backend's name.
     BackendId(u64);
     /// An availability zone.
     ZoneId(u64);
@@ -29,6 +30,6 @@
     TenantId(usize);
     /// Number of an attempt within its request, from 0 in the order of dispatch.
     AttemptNumber(u32);
-    /// Identifies a timer of the balancer that set it.
+    /// A timer; tokens are unique within one balancer.
     TimerToken(u64);
 }
--- a/crates/balancer/src/interface/time.rs
+++ b/crates/balancer/src/interface/time.rs
@@ -1,10 +1,11 @@
-//! Points in time and time spans, in whole microseconds. Sums saturate instead of overflowing.
+//! Points in time and time spans, in whole microseconds. Sums and differences saturate instead of
+//! overflowing.
 
 use std::ops::{Add, Sub};
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A point in time, in microseconds of the host's clock; the clock's origin is arbitrary.
+/// A point in time, in microseconds of the host's clock. The origin of the clock is arbitrary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
@@ -13,7 +14,7 @@
 pub struct Micros(pub u64);
 
 impl Time {
-    /// A time that never comes.
+    /// The latest representable time, which stands for "never".
     pub const NEVER: Time = Time(u64::MAX);
 }
 
@@ -36,14 +37,14 @@
 impl Sub for Time {
     type Output = Micros;
 
-    /// The span since `earlier`; zero if `earlier` lies in the future.
+    /// The span from `earlier` to this time; zero if `earlier` is later than this time.
     fn sub(self, earlier: Time) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Micros {
-    /// A span of `secs` seconds; negative values give zero.
+    /// A span of `secs` seconds, rounded down to whole microseconds; zero if `secs` is negative.
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * MICROS_PER_SECOND) as u64)
     }
@@ -53,7 +54,8 @@
         self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// The span multiplied by `factor`; negative factors give zero.
+    /// The span multiplied by `factor`, rounded down to whole microseconds; zero if `factor` is
+    /// negative.
     pub fn times(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
--- a/crates/balancer/src/interface/time/tests.rs
+++ b/crates/balancer/src/interface/time/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_multiple_of_a_span_is_cut_to_whole_microseconds() {
+fn a_multiple_of_a_span_is_rounded_down_to_whole_microseconds() {
     assert_eq!(Micros(1_001).times(0.5), Micros(500));
     assert_eq!(Micros(1_000).times(-2.0), Micros(0));
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,22 +1,28 @@
 //! Load-balancing decisions for a proxy in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: a host feeds it [`Event`]s
-//! with the time at which they happened and carries out the [`Action`]s it returns.
+//! [`Balancer`] is a state machine without a clock, network access or threads. A host passes each
+//! [`Event`] to it, together with the time of the event, and executes the [`Action`]s that it
+//! returns.
 //!
-//! The balancer is made of components, each of which owns a part of the state:
+//! The modules are:
 //!
-//! - `interface`: configuration, events and actions
-//! - `balancer`: the components, and the order of what happens at each event
-//! - `requests`: open requests, their attempts, and the queue of those that wait
-//! - `admission`: load shedding by priority, and the tenants' quotas
-//! - `retry`: the retry budget, the rules for further attempts, and deadlines
+//! - `interface`: the types of the configuration, the events and the actions
+//! - `settings`: reads the configuration from JSON
+//! - `balancer`: the [`Balancer`], which calls the components below for each event
+//! - `requests`: open requests, their attempts, and the queue of requests that wait for a backend
+//! - `admission`: load shedding by priority, and tenant quotas
+//! - `retry`: the retry budget, the rules for further attempts, and request deadlines
 //! - `backends`: backends and machine types, outlier detection, slow start
 //! - `routing`: traffic shares, concurrency limits, and the choice of a backend
-//! - `estimation`: latency, work and rates
-//! - `subset`, `discovery_watch`, `idle_connections`: the endpoint list, its age, and connections
-//! - `wakeups`, `outbox`: timers and actions
+//! - `estimation`: estimates of latency, work and request rates
+//! - `subset`: the endpoint list, and the part of it that this proxy uses
+//! - `discovery_watch`: when to poll discovery, and whether the endpoint list is stale
+//! - `idle_connections`: the limit on idle connections
+//! - `wakeups`: when the balancer needs a timer
+//! - `outbox`: the actions for the current event, and the rate limit on log lines
 //!
-//! `halb` and `peers` are formulas without state. `host` is for those that drive a balancer.
+//! `halb` and `peers` contain formulas and have no state. `host` has helpers for programs that run
+//! a balancer.
 
 mod admission;
 mod backends;
@@ -49,7 +55,7 @@
     TimerToken, UnconfirmedList, ZoneId,
 };
 
-/// The README's example, kept true by the documentation tests.
+/// Compiles and runs the example in the README as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/balancer/src/outbox.rs
+++ b/crates/balancer/src/outbox.rs
@@ -1,15 +1,15 @@
-//! The outbox: the actions that the present event calls for, and the limit on log lines.
+//! The outbox: the actions to return for the current event, and the rate limit on log lines.
 
 use crate::{Action, LogEvent, Micros, Time};
 
-/// Shortest time between two lines to the log, whatever they say: two a second at most.
+/// Shortest time between two log lines of any kind: at most two lines per second are written.
 const LOG_INTERVAL: Micros = Micros(500_000);
 
-/// The actions that the event at hand has called for so far, in order.
+/// Collects the actions to return for the current event, in the order in which they are executed.
 #[derive(Default)]
 pub(crate) struct Outbox {
     actions: Vec<Action>,
-    /// Until then events for the log are dropped.
+    /// Log events before this time are dropped.
     next_log_at: Time,
 }
 
@@ -19,7 +19,7 @@
         self.actions.push(action);
     }
 
-    /// Reports an event to the operators' log, unless the last one was too short a time ago.
+    /// Writes an event to the log. Drops it if the last one was less than [`LOG_INTERVAL`] ago.
     pub fn log(&mut self, now: Time, event: LogEvent) {
         if now >= self.next_log_at {
             self.next_log_at = now + LOG_INTERVAL;
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Reports an event that is for tracing single requests. The limit on log lines does not hold:
-    /// hosts write such events only where an operator asks for them.
+    /// Writes an event for tracing single requests to the log. The rate limit does not apply,
+    /// because hosts write such events only if an operator has enabled them.
     pub fn trace(&mut self, event: LogEvent) {
         self.push(Action::Log(event));
     }
 
-    /// Moves the actions to the end of the host's list.
+    /// Moves the collected actions to the end of `actions`.
     pub fn drain_into(&mut self, actions: &mut Vec<Action>) {
         actions.append(&mut self.actions);
     }
--- a/crates/balancer/src/outbox/tests.rs
+++ b/crates/balancer/src/outbox/tests.rs
@@ -2,7 +2,7 @@
 use crate::test_fixtures::{SECOND, START};
 
 #[test]
-fn two_lines_a_second_are_logged_and_the_rest_is_dropped() {
+fn log_events_beyond_two_per_second_are_dropped() {
     let mut outbox = Outbox::default();
     for tenth in 0..10 {
         let now = START + SECOND.times(f64::from(tenth) / 10.0);
@@ -12,5 +12,5 @@
     outbox.drain_into(&mut actions);
     assert_eq!(actions, [const { Action::Log(LogEvent::WatchFailed) }; 2]);
     outbox.drain_into(&mut actions);
-    assert_eq!(actions.len(), 2, "they are handed over once");
+    assert_eq!(actions.len(), 2, "each action is returned only once");
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,7 +1,7 @@
-//! Reads a balancer's JSON settings into a [`Config`].
+//! Reads the JSON settings of a deployment into a [`Config`].
 //!
-//! The keys are those of the deployment's settings; unknown ones are ignored. Numbers are only
-//! checked for their form here, their ranges by [`Config::validate`].
+//! Unknown keys are ignored. This module checks only that each value has the expected type and
+//! form; [`Config::validate`] checks that numbers are within their ranges.
 
 mod error;
 mod key;
@@ -13,17 +13,20 @@
 
 use crate::{Class, Config, DiscoveryMode, Idempotency, KeyScope, Micros, Tenant, ZoneId};
 
-/// What the settings of a deployment say.
+/// The settings of a deployment.
 #[derive(Debug)]
 pub struct Settings {
     /// The balancer's configuration.
     pub config: Config,
-    /// The names of its classes and tenants.
+    /// The names of the classes and tenants of the configuration.
     pub names: Names,
 }
 
-/// Reads the settings. The error is that of the first setting that is missing or not of the
-/// expected form.
+/// Reads the settings from the object at `root`.
+///
+/// # Errors
+///
+/// Reports the first setting that is missing or does not have the expected form.
 pub fn read(root: &Key) -> Result<Settings, InvalidValue> {
     let zones = read_zones(root)?;
     let mut names = Names::default();
@@ -58,7 +61,7 @@
     Ok(Settings { config, names })
 }
 
-/// Whether the weights of the endpoint list are load reports; not if the setting is missing.
+/// Whether the weights of the endpoint list are load reports. False if the setting is missing.
 fn has_live_weights(root: &Key) -> bool {
     let source = root.get("weight_source");
     source.text() == Ok("live")
@@ -66,9 +69,9 @@
 
 /// The zones of the deployment.
 struct Zones {
-    /// The proxy's own zone.
+    /// The zone in which this proxy runs.
     own: ZoneId,
-    /// How many there are.
+    /// Number of zones.
     count: u32,
 }
 
--- a/crates/balancer/src/settings/key.rs
+++ b/crates/balancer/src/settings/key.rs
@@ -1,17 +1,19 @@
-//! A reader for JSON documents whose errors name the path of the value.
+//! Access to the values of a JSON document, with errors that contain the path of the value.
 
 use super::InvalidValue;
 use crate::Micros;
 use serde_json::Value;
 
-/// A place in a JSON document: the path that leads to it and the value that stands there, if any.
+/// A path in a JSON document, and the value at this path if there is one.
+///
+/// The methods that read the value return an error if it is missing or has an unexpected form.
 pub struct Key<'a> {
     path: String,
     value: Option<&'a Value>,
 }
 
 impl<'a> Key<'a> {
-    /// The whole document.
+    /// The root of a document.
     pub fn root(value: &'a Value) -> Key<'a> {
         Key {
             path: String::new(),
@@ -19,7 +21,7 @@
         }
     }
 
-    /// A member of an object.
+    /// The member `name` of the object at this path. The member and the object may be missing.
     pub fn get(&self, name: &str) -> Key<'a> {
         let path = if self.path.is_empty() {
             name.into()
@@ -32,12 +34,12 @@
         }
     }
 
-    /// The value as it is; `None` if it is missing or null.
+    /// The value without a check of its type; `None` if it is missing or null.
     pub fn value(&self) -> Option<&'a Value> {
         self.value.filter(|value| !value.is_null())
     }
 
-    /// The items of an array.
+    /// Reads the value as an array and returns its items.
     pub fn list(&self) -> Result<Vec<Key<'a>>, InvalidValue> {
         let items = self.want(self.value.and_then(Value::as_array), "an array")?;
         let mut keys = Vec::with_capacity(items.len());
@@ -50,22 +52,22 @@
         Ok(keys)
     }
 
-    /// A text.
+    /// Reads the value as a string.
     pub fn text(&self) -> Result<&'a str, InvalidValue> {
         self.want(self.value.and_then(Value::as_str), "text")
     }
 
-    /// A truth value.
+    /// Reads the value as a boolean.
     pub fn flag(&self) -> Result<bool, InvalidValue> {
         self.want(self.value.and_then(Value::as_bool), "true or false")
     }
 
-    /// A number.
+    /// Reads the value as a number.
     pub fn real(&self) -> Result<f64, InvalidValue> {
         self.want(self.value.and_then(Value::as_f64), "a number")
     }
 
-    /// A number, or `default` if there is no value.
+    /// Reads the value as a number; returns `default` if the value is missing.
     pub fn real_or(&self, default: f64) -> Result<f64, InvalidValue> {
         match self.value {
             Some(_) => self.real(),
@@ -73,27 +75,27 @@
         }
     }
 
-    /// A whole number that is not negative.
+    /// Reads the value as an integer from 0 to `u32::MAX`.
     pub fn count(&self) -> Result<u32, InvalidValue> {
         let number = self.value.and_then(Value::as_u64);
         let count = number.and_then(|number| u32::try_from(number).ok());
         self.want(count, "a whole number")
     }
 
-    /// A time span in whole microseconds.
+    /// Reads the value as a time span in whole microseconds.
     pub fn micros(&self) -> Result<Micros, InvalidValue> {
         let number = self.value.and_then(Value::as_u64);
         let micros = self.want(number, "whole microseconds")?;
         Ok(Micros(micros))
     }
 
-    /// Returns `parsed`, which the caller has made of the value; if it is `None`, the error that
-    /// the value is not as expected.
+    /// Returns `parsed`, the result of the caller's attempt to parse the value. If it is `None`,
+    /// returns the error that the value is missing or is not `expected`.
     pub fn want<T>(&self, parsed: Option<T>, expected: &'static str) -> Result<T, InvalidValue> {
         parsed.ok_or_else(|| self.error(expected))
     }
 
-    /// The error that the value is missing or not as expected.
+    /// The error that the value is missing or is not `expected`.
     pub fn error(&self, expected: &'static str) -> InvalidValue {
         let got = self.value.map(Value::to_string);
         InvalidValue::new(self.path.clone(), expected, got)
--- a/crates/balancer/src/settings/names.rs
+++ b/crates/balancer/src/settings/names.rs
@@ -1,11 +1,11 @@
-//! Names of classes and tenants, and ids that are derived from names.
+//! The names of classes and tenants, and ids that are derived from names.
 
 use crate::{ClassId, TenantId};
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// The id of a backend, zone or machine type by its name (64-bit FNV-1a). It does not depend on the
-/// endpoint lists that a process has seen, so that all processes use the same ids.
+/// The id of a backend, zone or machine type: the 64-bit FNV-1a hash of its name. All processes use
+/// the same ids, whatever endpoint lists they have received.
 pub fn stable_id(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
@@ -20,7 +20,7 @@
 }
 
 impl Names {
-    /// The class of this name.
+    /// The id of the class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes
             .iter()
@@ -28,7 +28,7 @@
             .map(ClassId)
     }
 
-    /// The tenant of this name.
+    /// The id of the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants
             .iter()
--- a/crates/balancer/src/settings/tests.rs
+++ b/crates/balancer/src/settings/tests.rs
@@ -2,7 +2,8 @@
 use crate::{ClassId, TenantId};
 use serde_json::{json, Value};
 
-/// Settings that give every key; the values differ from each other, so that no two can be mistaken.
+/// Settings with every key. Values of the same kind differ, so that a value that is read into the
+/// wrong field is noticed.
 fn settings() -> Value {
     json!({
         "group_size": 5,
@@ -58,7 +59,7 @@
         .config
 }
 
-/// The classes that [`settings`] give.
+/// The classes that [`settings`] are read into.
 fn expected_classes() -> Vec<Class> {
     vec![
         Class {
@@ -88,7 +89,7 @@
     ]
 }
 
-/// The configuration that [`settings`] give.
+/// The configuration that [`settings`] are read into.
 fn expected_config() -> Config {
     Config {
         proxy_count: 5,
@@ -117,14 +118,14 @@
 }
 
 #[test]
-fn every_setting_goes_into_its_field() {
+fn each_setting_is_read_into_its_field() {
     let expected = expected_config();
     assert_eq!(config_of(&settings()), expected);
     assert_eq!(expected.validate(), Ok(()));
 }
 
 #[test]
-fn names_lead_to_the_ids_of_classes_and_tenants() {
+fn names_resolve_to_the_ids_of_classes_and_tenants() {
     let settings = settings();
     let Settings { names, .. } = read(&Key::root(&settings)).unwrap();
     assert_eq!(names.class("pay"), Some(ClassId(1)));
@@ -158,8 +159,8 @@
     assert_eq!(config_of(&extended), config_of(&settings()));
 }
 
-/// Checks the error's text if the value at a JSON pointer is replaced: it has the path, what was
-/// expected and the value.
+/// Checks the error message after the value at a JSON pointer is replaced. It consists of the path,
+/// the expectation and the value.
 fn assert_unexpected(pointer: &str, value: Value, message: &str) {
     assert_eq!(error_of(&with(pointer, value)).to_string(), message);
 }
@@ -289,7 +290,7 @@
 }
 
 #[test]
-fn the_error_gives_its_parts_to_programs() {
+fn an_error_has_path_expectation_and_value_as_fields() {
     let wrong = error_of(&with("/limits/max_attempts", json!("3")));
     let expected = "a whole number";
     let path = String::from("limits.max_attempts");
@@ -306,7 +307,7 @@
 }
 
 #[test]
-fn a_null_counts_as_no_value() {
+fn value_is_none_if_the_member_is_null_or_missing() {
     let document = json!({"known": null, "list": []});
     let root = Key::root(&document);
     assert_eq!(root.get("known").value(), None);
--- a/crates/balancer/src/test_fixtures.rs
+++ b/crates/balancer/src/test_fixtures.rs
@@ -1,10 +1,10 @@
-//! Values that the tests of several components start from.
+//! Fixtures that the unit tests of several components share.
 
 use crate::admission::RequestWeight;
 use crate::requests::{Attempt, Request};
 use crate::{Arrival, BackendId, BackendState, ClassId, Config, Endpoint, Micros, RequestId, Time};
 
-/// The time at which the tests begin.
+/// The time at which the tests start.
 pub const START: Time = Time(1_000_000_000);
 /// One second.
 pub const SECOND: Micros = Micros(1_000_000);
@@ -19,7 +19,7 @@
     }
 }
 
-/// A request of the first class, which its client waits for one second.
+/// The arrival of a request of the first class, whose client waits for one second.
 pub fn arrival(id: u64) -> Arrival {
     Arrival {
         request: RequestId(id),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The weight that a request has by the example configuration.
+/// The weight of a request of the first class in the example configuration.
 pub fn weight(is_retry: bool, is_over_quota: bool) -> RequestWeight {
     let config = Config::example();
     let arrival = Arrival {
@@ -41,13 +41,14 @@
     RequestWeight::new(&config, &config.classes[0], &arrival, is_over_quota)
 }
 
-/// A request that arrives at `now` and has an objective of half a second and the full weight.
+/// A request that arrives at `now`, with a latency objective of half a second and full weight.
 pub fn request(now: Time) -> Request {
     let objective = Micros(SECOND.0 / 2);
     Request::new(now, &arrival(1), objective, weight(false, false))
 }
 
-/// The same with attempts that have ended, and may have been executed, on these backends.
+/// Like [`request`], with one attempt on each of these backends. The attempts have ended and may
+/// have been executed.
 pub fn tried_request(now: Time, backends: &[u64]) -> Request {
     let mut request = request(now);
     for id in backends {
--- a/crates/balancer/src/wakeups.rs
+++ b/crates/balancer/src/wakeups.rs
@@ -1,22 +1,24 @@
-//! Wake-ups: when the balancer has something to do without an event, and the timer that the host is
-//! asked for.
+//! Wake-ups: the next time at which the balancer must run even if no event arrives, and the timer
+//! that the host sets for it.
 
 use crate::{Action, Micros, Time, TimerToken};
 
-/// When something is next to be done without an event, and the pending timer.
+/// The time of the next wake-up, and the pending timer.
 ///
-/// It owns both. The host may have several timers, of which only the newest counts.
+/// Timers cannot be cancelled: the host may have several pending timers, of which only the newest
+/// has an effect.
 pub(crate) struct Wakeups {
+    /// When the balancer must run next; [`Time::NEVER`] if no wake-up is scheduled.
     next_wakeup: Time,
-    /// The token of the newest timer; timers with older tokens are ignored.
+    /// The token of the newest timer; older timers are ignored when they expire.
     newest_token: TimerToken,
-    /// The wake-up that the pending timer is for; `None` if no timer is pending. The timer may
-    /// expire up to a tick after it.
+    /// The wake-up for which the pending timer was set; `None` if no timer is pending. The timer
+    /// may expire up to one tick after this time.
     pending_wakeup: Option<Time>,
 }
 
 impl Wakeups {
-    /// The first wake-up is due at once.
+    /// Schedules the first wake-up, which is due immediately.
     pub fn new() -> Wakeups {
         Wakeups {
             next_wakeup: Time(0),
@@ -25,12 +27,13 @@
         }
     }
 
-    /// Sees to it that the balancer is called at that time at the latest.
+    /// Schedules a wake-up at `at` or earlier.
     pub fn wake_by(&mut self, at: Time) {
         self.next_wakeup = self.next_wakeup.min(at);
     }
 
-    /// Records that a timer has expired; returns whether it counts.
+    /// Records that a timer has expired. Returns whether it is the newest one; all others are to be
+    /// ignored.
     pub fn accept_timer(&mut self, token: TimerToken) -> bool {
         let is_newest = token == self.newest_token;
         if is_newest {
@@ -39,7 +42,7 @@
         is_newest
     }
 
-    /// Whether a wake-up is due; if so, it counts as done.
+    /// Whether a wake-up is due. If so, clears it.
     pub fn take_due(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_wakeup;
         if is_due {
@@ -48,8 +51,8 @@
         is_due
     }
 
-    /// Sets a timer for the next wake-up and returns the action for the host. `None` if the pending
-    /// timer is early enough or no wake-up is scheduled. No timer is shorter than a tick.
+    /// Returns the action that sets a timer for the next wake-up, or `None` if the pending timer
+    /// expires early enough or no wake-up is scheduled. No timer is shorter than `tick`.
     pub fn arm_timer(&mut self, now: Time, tick: Micros) -> Option<Action> {
         let is_covered = self.pending_wakeup.is_some_and(|at| at <= self.next_wakeup);
         if is_covered || self.next_wakeup == Time::NEVER {
--- a/crates/balancer/src/wakeups/tests.rs
+++ b/crates/balancer/src/wakeups/tests.rs
@@ -3,7 +3,7 @@
 
 const TICK: Micros = Micros(5_000);
 
-/// Wake-ups of which the first, which is due at once, is done.
+/// Wake-ups after the first one, which is due immediately, has been taken.
 fn wakeups() -> Wakeups {
     let mut wakeups = Wakeups::new();
     assert!(wakeups.take_due(START));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn only_the_newest_timer_counts() {
+fn only_the_newest_timer_is_accepted() {
     let mut wakeups = wakeups();
     for seconds in [2.0, 1.0] {
         wakeups.wake_by(START + SECOND.times(seconds));
@@ -48,5 +48,8 @@
     assert!(wakeups.accept_timer(TimerToken(2)));
     assert!(!wakeups.take_due(START));
     assert!(wakeups.take_due(START + SECOND));
-    assert!(!wakeups.take_due(START + SECOND), "it is done");
+    assert!(
+        !wakeups.take_due(START + SECOND),
+        "a wake-up is due only once"
+    );
 }
