--- a/crates/balancer/src/interface/config.rs
+++ b/crates/balancer/src/interface/config.rs
@@ -188,7 +188,7 @@
             "position",
             "less than group_size",
         )?;
-        require(self.zone_count > 0, "zones", "at least 1")?;
+        require(self.zone_count > 0, "zones", "at least one zone")?;
         require(!self.classes.is_empty(), "profiles", "at least one class")
     }
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -84,7 +84,7 @@
     let own_zone = root.get("my_zone");
     let own_name = own_zone.text()?;
     if !names.contains(&own_name) {
-        return Err(own_zone.error("one of zones"));
+        return Err(own_zone.error("one of the names in zones"));
     }
     Ok(Zones {
         own: ZoneId(stable_id(own_name)),
--- a/crates/balancer/src/settings/key.rs
+++ b/crates/balancer/src/settings/key.rs
@@ -79,7 +79,7 @@
     pub fn count(&self) -> Result<u32, InvalidValue> {
         let number = self.value.and_then(Value::as_u64);
         let count = number.and_then(|number| u32::try_from(number).ok());
-        self.want(count, "a whole number")
+        self.want(count, "an integer from 0 to 4294967295")
     }
 
     /// Reads the value as a time span in whole microseconds.
--- a/crates/balancer/src/settings/tests.rs
+++ b/crates/balancer/src/settings/tests.rs
@@ -170,17 +170,17 @@
     assert_unexpected(
         "/group_size",
         json!("5"),
-        "group_size: expected a whole number, got \"5\"",
+        "group_size: expected an integer from 0 to 4294967295, got \"5\"",
     );
     assert_unexpected(
         "/group_size",
         json!(4_294_967_296_u64),
-        "group_size: expected a whole number, got 4294967296",
+        "group_size: expected an integer from 0 to 4294967295, got 4294967296",
     );
     assert_unexpected(
         "/position",
         json!(-1),
-        "position: expected a whole number, got -1",
+        "position: expected an integer from 0 to 4294967295, got -1",
     );
     assert_unexpected(
         "/zones",
@@ -191,7 +191,7 @@
     assert_unexpected(
         "/my_zone",
         json!("north"),
-        "my_zone: expected one of zones, got \"north\"",
+        "my_zone: expected one of the names in zones, got \"north\"",
     );
 }
 
@@ -254,7 +254,7 @@
         (
             "",
             "group_size",
-            "group_size: missing, expected a whole number",
+            "group_size: missing, expected an integer from 0 to 4294967295",
         ),
         ("", "zones", "zones: missing, expected an array"),
         ("", "blend", "blend.whole: missing, expected a number"),
@@ -292,7 +292,7 @@
 #[test]
 fn an_error_has_path_expectation_and_value_as_fields() {
     let wrong = error_of(&with("/limits/max_attempts", json!("3")));
-    let expected = "a whole number";
+    let expected = "an integer from 0 to 4294967295";
     let path = String::from("limits.max_attempts");
     assert_eq!(
         wrong,
