--- a/crates/balancer/src/settings/key.rs
+++ b/crates/balancer/src/settings/key.rs
@@ -41,7 +41,7 @@
 
     /// Reads the value as an array and returns its items.
     pub fn list(&self) -> Result<Vec<Key<'a>>, InvalidValue> {
-        let items = self.want(self.value.and_then(Value::as_array), "an array")?;
+        let items = self.require(self.value.and_then(Value::as_array), "an array")?;
         let mut keys = Vec::with_capacity(items.len());
         for (index, value) in items.iter().enumerate() {
             keys.push(Key {
@@ -54,17 +54,17 @@
 
     /// Reads the value as a string.
     pub fn text(&self) -> Result<&'a str, InvalidValue> {
-        self.want(self.value.and_then(Value::as_str), "text")
+        self.require(self.value.and_then(Value::as_str), "text")
     }
 
     /// Reads the value as a boolean.
     pub fn flag(&self) -> Result<bool, InvalidValue> {
-        self.want(self.value.and_then(Value::as_bool), "true or false")
+        self.require(self.value.and_then(Value::as_bool), "true or false")
     }
 
     /// Reads the value as a number.
     pub fn real(&self) -> Result<f64, InvalidValue> {
-        self.want(self.value.and_then(Value::as_f64), "a number")
+        self.require(self.value.and_then(Value::as_f64), "a number")
     }
 
     /// Reads the value as a number; returns `default` if the value is missing.
@@ -79,19 +79,19 @@
     pub fn count(&self) -> Result<u32, InvalidValue> {
         let number = self.value.and_then(Value::as_u64);
         let count = number.and_then(|number| u32::try_from(number).ok());
-        self.want(count, "an integer from 0 to 4294967295")
+        self.require(count, "an integer from 0 to 4294967295")
     }
 
     /// Reads the value as a time span in whole microseconds.
     pub fn micros(&self) -> Result<Micros, InvalidValue> {
         let number = self.value.and_then(Value::as_u64);
-        let micros = self.want(number, "whole microseconds")?;
+        let micros = self.require(number, "whole microseconds")?;
         Ok(Micros(micros))
     }
 
     /// Returns `parsed`, the result of the caller's attempt to parse the value. If it is `None`,
     /// returns the error that the value is missing or is not `expected`.
-    pub fn want<T>(&self, parsed: Option<T>, expected: &'static str) -> Result<T, InvalidValue> {
+    pub fn require<T>(&self, parsed: Option<T>, expected: &'static str) -> Result<T, InvalidValue> {
         parsed.ok_or_else(|| self.error(expected))
     }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -115,18 +115,18 @@
 
 fn socket_address(key: &Key) -> Result<SocketAddr, ConfigFileError> {
     let parsed = key.text()?.parse().ok();
-    Ok(key.want(parsed, "an IP address and a port")?)
+    Ok(key.require(parsed, "an IP address and a port")?)
 }
 
 fn seed(key: &Key) -> Result<u64, ConfigFileError> {
     let parsed = u64::from_str_radix(key.text()?, 16).ok();
-    Ok(key.want(parsed, "up to 16 hex digits")?)
+    Ok(key.require(parsed, "up to 16 hex digits")?)
 }
 
 fn max_descriptors(process_limits: &Key) -> Result<usize, ConfigFileError> {
     let key = process_limits.get("sockets");
     let enough = Some(key.count()?).filter(|count| *count >= MIN_DESCRIPTORS);
-    Ok(key.want(enough, "at least 64")? as usize)
+    Ok(key.require(enough, "at least 64")? as usize)
 }
 
 fn memory_limit_bytes(process_limits: &Key) -> Result<usize, ConfigFileError> {
