--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -294,7 +294,7 @@
         );
         if is_ejected {
             // The attempts in flight on this backend are probably lost. The checks at this wake-up
-            // hedge the requests that have no other attempt.
+            // hedge or replace those that are the only attempt of their request.
             self.wakeups.wake_by(now + self.config.tick);
             let ejection = LogEvent::BackendEjected {
                 backend: attempt.backend,
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -76,8 +76,8 @@
     /// admission control, and schedules the next check.
     pub(super) fn check_attempts(&mut self, now: Time) {
         if self.outliers.clear_unresponsive(&mut self.backends) {
-            // The loop below marks the backends that still do not respond again. The other
-            // backends have capacity again.
+            // The backends that still do not respond are marked again below. The others have
+            // capacity again.
             self.queue.unblock();
         }
         let peers = self.peers();
--- a/crates/balancer/src/discovery_watch/poll_backoff/tests.rs
+++ b/crates/balancer/src/discovery_watch/poll_backoff/tests.rs
@@ -2,7 +2,7 @@
 
 const POLL_WITHIN: Micros = Micros(10_000_000);
 
-fn fleet(proxy_count: u32) -> Config {
+fn config_with_proxies(proxy_count: u32) -> Config {
     Config {
         proxy_count,
         ..Config::example()
@@ -11,7 +11,7 @@
 
 /// The backoffs after `rejections` consecutive rejected polls, in milliseconds.
 fn after_rejections(proxy_count: u32, random: f64, rejections: usize) -> Vec<u64> {
-    let config = fleet(proxy_count);
+    let config = config_with_proxies(proxy_count);
     let mut backoff = PollBackoff::default();
     let mut backoffs = Vec::new();
     for _ in 0..rejections {
@@ -42,7 +42,7 @@
 
 #[test]
 fn the_backoff_after_queueing_is_random_within_half_a_poll_round_and_then_within_one_round() {
-    let config = fleet(100);
+    let config = config_with_proxies(100);
     let mut backoff = PollBackoff::default();
     assert_eq!(backoff.after_queueing(&config, 1.0), Micros(4_000_000));
     assert_eq!(backoff.after_queueing(&config, 1.0), Micros(8_000_000));
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_response_resets_the_backoff() {
-    let config = fleet(4);
+    let config = config_with_proxies(4);
     let mut backoff = PollBackoff::default();
     backoff.after_rejection(&config, POLL_WITHIN, 0.0);
     backoff.after_rejection(&config, POLL_WITHIN, 0.0);
--- a/crates/balancer/src/discovery_watch/tests.rs
+++ b/crates/balancer/src/discovery_watch/tests.rs
@@ -4,7 +4,7 @@
 const START: Time = Time(1_000_000_000);
 
 /// The configuration of one of `proxy_count` proxies that watch discovery.
-fn watching(proxy_count: u32) -> Config {
+fn watching_config(proxy_count: u32) -> Config {
     Config {
         proxy_count,
         discovery: DiscoveryMode::Watch {
@@ -19,7 +19,7 @@
 }
 
 /// A watch whose first poll was sent at [`START`].
-fn polling(config: &Config) -> DiscoveryWatch {
+fn polling_watch(config: &Config) -> DiscoveryWatch {
     let mut watch = DiscoveryWatch::new(config);
     assert!(watch.take_due_poll(START, config));
     watch
@@ -42,27 +42,27 @@
 
 #[test]
 fn a_poll_without_a_response_is_repeated_after_half_of_poll_within() {
-    let config = watching(4);
-    let mut watch = polling(&config);
+    let config = watching_config(4);
+    let mut watch = polling_watch(&config);
     assert!(!watch.take_due_poll(millis_after_start(4_999), &config));
     assert!(watch.take_due_poll(millis_after_start(5_000), &config));
 }
 
 #[test]
 fn the_list_goes_stale_six_seconds_after_the_start_unless_a_poll_waits_for_a_change() {
-    let config = watching(4);
-    let mut watch = polling(&config);
+    let config = watching_config(4);
+    let mut watch = polling_watch(&config);
     watch.on_watch_failed(millis_after_start(2_000), &config, 0.5);
     assert!(watch.is_fresh(millis_after_start(5_999), &config));
     assert!(!watch.is_fresh(millis_after_start(6_000), &config));
-    let watch = polling(&config);
+    let watch = polling_watch(&config);
     assert!(watch.is_fresh(millis_after_start(60_000), &config));
 }
 
 #[test]
 fn a_rejected_poll_keeps_the_list_fresh_for_six_seconds_after_it_was_sent() {
-    let config = watching(4);
-    let mut watch = polling(&config);
+    let config = watching_config(4);
+    let mut watch = polling_watch(&config);
     watch.on_watch_failed(millis_after_start(10), &config, 0.0);
     assert_eq!(watch.next_poll_at(), Some(millis_after_start(110)));
     assert!(watch.take_due_poll(millis_after_start(110), &config));
@@ -73,8 +73,8 @@
 
 #[test]
 fn a_broken_watch_is_reopened_within_five_seconds_by_a_large_fleet() {
-    let config = watching(1_000);
-    let mut watch = polling(&config);
+    let config = watching_config(1_000);
+    let mut watch = polling_watch(&config);
     watch.on_endpoints_received(millis_after_start(10));
     assert_eq!(watch.next_poll_at(), None);
     watch.on_watch_failed(millis_after_start(20_000), &config, 0.5);
@@ -85,8 +85,8 @@
 
 #[test]
 fn a_watch_that_timed_out_polls_immediately_and_its_list_stays_fresh_for_1500_ms() {
-    let config = watching(1_000);
-    let mut watch = polling(&config);
+    let config = watching_config(1_000);
+    let mut watch = polling_watch(&config);
     watch.on_endpoints_received(millis_after_start(10));
     watch.on_watch_timed_out(millis_after_start(20_000), &config);
     assert_eq!(watch.next_poll_at(), Some(millis_after_start(20_000)));
@@ -97,7 +97,7 @@
 #[test]
 fn many_proxies_spread_their_first_polls() {
     let first_poll_after = |proxy_count, has_cached_list| {
-        let config = watching(proxy_count);
+        let config = watching_config(proxy_count);
         let mut watch = DiscoveryWatch::new(&config);
         watch.on_process_started(START, &config, has_cached_list, || 0.5);
         watch.next_poll_at().expect("a poll is scheduled") - START
@@ -110,7 +110,7 @@
 
 #[test]
 fn up_to_four_proxies_poll_immediately_and_draw_no_random_number() {
-    let config = watching(4);
+    let config = watching_config(4);
     let mut watch = DiscoveryWatch::new(&config);
     watch.on_process_started(START, &config, true, || panic!("a random number was drawn"));
     assert!(watch.take_due_poll(START, &config));
--- a/crates/balancer/src/idle_connections.rs
+++ b/crates/balancer/src/idle_connections.rs
@@ -2,10 +2,10 @@
 //!
 //! A backend accepts a limited number of connections, and no setting gives that number. A
 //! connection that one proxy keeps idle cannot be opened by another proxy. A proxy starts without a
-//! limit. When a backend rejects a new connection of it, it sets a limit that makes the host close
+//! limit. When a backend rejects a new connection, the proxy sets a limit that makes the host close
 //! a part of the idle connections, and then lets the limit grow slowly. This multiplicative
-//! decrease and slow increase makes the numbers of connections of proxies that do not communicate
-//! converge.
+//! decrease and slow increase brings proxies that do not communicate to similar numbers of
+//! connections.
 
 use crate::{Micros, Time};
 
--- a/crates/balancer/src/interface/config.rs
+++ b/crates/balancer/src/interface/config.rs
@@ -2,9 +2,10 @@
 //!
 //! [`settings::read`](crate::settings::read) reads it from the JSON settings of a deployment.
 //!
-//! Weights and costs have no unit; only their ratios matter. They define the operators' objective,
-//! which the balancer tries to maximize: a weighted sum of how well all traffic is served and how
-//! well the worst-served class is served, less the cost of requests that cross zones.
+//! Weights and costs are relative to each other and have no unit. They define the operators'
+//! objective, which the balancer tries to maximize: a weighted sum of how well all traffic is
+//! served and how well the worst-served class is served, less the cost of requests that cross
+//! zones.
 
 use crate::{Micros, ZoneId};
 
--- a/crates/balancer/src/settings/tests.rs
+++ b/crates/balancer/src/settings/tests.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn names_resolve_to_the_ids_of_classes_and_tenants() {
+fn a_name_resolves_to_the_id_of_its_class_or_tenant() {
     let settings = settings();
     let Settings { names, .. } = read(&Key::root(&settings)).unwrap();
     assert_eq!(names.class("pay"), Some(ClassId(1)));
