--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -229,7 +229,7 @@
         };
         end.outcome = self.effective_outcome(&attempt, &end);
         self.adjust_admission(&attempt, &end);
-        self.learn_from_outcome(now, &attempt, &end);
+        self.record_outcome(now, &attempt, &end);
         let Some(request) = self.requests.record_attempt_end(&end) else {
             return;
         };
@@ -279,7 +279,7 @@
     }
 
     /// Updates outlier detection and the latency estimates with the outcome of an attempt.
-    fn learn_from_outcome(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
+    fn record_outcome(&mut self, now: Time, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let Some(backend) = self.backends.get_mut(attempt.backend) else {
             return;
         };
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -58,9 +58,9 @@
             return;
         };
         let is_in_flight = request.is_in_flight();
-        match self.decide(now, id) {
+        match self.decide_dispatch(now, id) {
             DispatchDecision::Send(backend) => self.dispatch(now, id, backend),
-            DispatchDecision::NoCapacity => self.queue_again(id),
+            DispatchDecision::NoCapacity => self.requeue(id),
             DispatchDecision::NotAllowed if !is_in_flight => self.give_up(id),
             // The attempt in flight may still succeed.
             DispatchDecision::NotAllowed => {}
@@ -68,7 +68,7 @@
     }
 
     /// Decides what to do with a waiting request.
-    fn decide(&mut self, now: Time, id: RequestId) -> DispatchDecision {
+    fn decide_dispatch(&mut self, now: Time, id: RequestId) -> DispatchDecision {
         let Some(request) = self.requests.get(id) else {
             return DispatchDecision::NotAllowed;
         };
@@ -129,7 +129,7 @@
 
     /// Queues a request again after it found no capacity. If this was for its first attempt, also
     /// blocks other first attempts of the same or a lower priority.
-    fn queue_again(&mut self, id: RequestId) {
+    fn requeue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(id).filter(|request| request.is_unsent()) {
             self.queue.block_up_to_priority_of(request);
         }
