--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer's state machine. It takes events (`interface/event.rs`), decides by its
-//! configuration (`interface/config.rs`) and returns actions (`interface/action.rs`).
+//! The balancer's state machine. It takes an event (`event.rs`), decides by its configuration
+//! (`config.rs`) and returns actions (`action.rs`); these files are in `interface/`.
 //!
 //! [`Balancer`] consists of components, each of which owns one part of the state, and calls them in
 //! the order that an event requires. This file has one method for each kind of event. `dispatch.rs`
