--- a/crates/balancer/src/idle_connections.rs
+++ b/crates/balancer/src/idle_connections.rs
@@ -1,11 +1,11 @@
 //! The limit on idle connections that this proxy keeps to all backends together.
 //!
-//! A backend accepts a limited number of connections, and no setting gives that number. A
-//! connection that one proxy keeps idle cannot be opened by another proxy. A proxy starts without a
-//! limit. When a backend rejects a new connection, the proxy sets a limit that makes the host close
-//! a part of the idle connections, and then lets the limit grow slowly. This multiplicative
-//! decrease and slow increase brings proxies that do not communicate to similar numbers of
-//! connections.
+//! A backend accepts a limited number of connections, and no setting gives that number. While one
+//! proxy keeps a connection idle for its next request, another proxy cannot open one in its place.
+//! A proxy starts without a limit. When a backend rejects a new connection, the proxy sets a limit
+//! that makes the host close a part of the idle connections, and then lets the limit grow slowly.
+//! This multiplicative decrease and slow increase brings proxies that do not communicate to similar
+//! numbers of connections.
 
 use crate::{Micros, Time};
 
