--- a/crates/balancer/src/discovery_watch.rs
+++ b/crates/balancer/src/discovery_watch.rs
@@ -79,7 +79,7 @@
     next_poll_at: Option<Time>,
     backoff: PollBackoff,
     state: WatchState,
-    /// The list contains every change that discovery had at this time and could be polled for.
+    /// The list contains every change that discovery had and made available to polls at this time.
     fresh_at: Time,
 }
 
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -95,7 +95,7 @@
 /// An endpoint list that no response of discovery confirms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnconfirmedList {
-    /// The list contains every change that discovery had at this time and could be polled for.
+    /// The list contains every change that discovery had and made available to polls at this time.
     pub fresh_at: Time,
     /// When the pending poll was sent; `None` if no poll is pending.
     pub poll_sent_at: Option<Time>,
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -17,8 +17,8 @@
     /// A client's request arrived. A request with an unknown class or with the id of an open
     /// request is ignored.
     ///
-    /// Later the balancer returns one [`Action::Reject`](crate::Action::Reject) or
-    /// [`Action::Fail`](crate::Action::Fail) for the request, unless
+    /// The balancer returns one [`Action::Reject`](crate::Action::Reject) or
+    /// [`Action::Fail`](crate::Action::Fail) for the request, at this event or later, unless
     /// - an attempt succeeds, whose response the host forwards to the client,
     /// - the host reports the request as settled ([`AttemptEnd::settled`]), or
     /// - the client disconnects.
--- a/crates/balancer/src/outbox.rs
+++ b/crates/balancer/src/outbox.rs
@@ -2,7 +2,8 @@
 
 use crate::{Action, LogEvent, Micros, Time};
 
-/// Shortest time between two log lines of any kind: at most two lines per second are written.
+/// Shortest time between two log lines of any kind, apart from those of [`Outbox::trace`]: at most
+/// two lines per second are written.
 const LOG_INTERVAL: Micros = Micros(500_000);
 
 /// Collects the actions to return for the current event, in the order in which they are executed.
