--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,9 +1,8 @@
-//! Writes reply lines: the balancer's actions, invalid settings of an instance, and the end of a
-//! batch.
+//! Writes reply lines: the balancer's actions, reports of invalid settings, and the end of a reply.
 //!
-//! Names of instances and addresses of backends are written without JSON escapes: decoding has
-//! checked that they hold no character that JSON escapes. Results of writes are ignored, because a
-//! write to a vector cannot fail.
+//! Instance names and backend addresses are written without JSON escaping, because decoding has
+//! checked that they contain no character that JSON escapes. The results of writes are ignored,
+//! because writing to a vector cannot fail.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::InvalidSettings;
@@ -14,11 +13,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The line that ends the reply to a batch.
+/// The last line of the reply to a batch.
 const END_OF_REPLY: &[u8] = b"[\"YIELD\"]\n";
 
-/// Writes the line of an action of an instance. [`Action::LimitIdleConnections`] has none, because
-/// the simulator closes idle connections by itself.
+/// Writes an action of an instance as a reply line. Nothing is written for log events without a
+/// [`log_text`], nor for [`Action::LimitIdleConnections`], because the simulator closes idle
+/// connections by itself.
 pub fn write_action(instance: &str, action: &Action, lists: &EndpointLists, reply: &mut Vec<u8>) {
     let _ = match action {
         Action::Dispatch { request, backend } => {
@@ -59,8 +59,9 @@
     };
 }
 
-/// The text of a line of the operators' log; `None` for an event that traces a single request,
-/// because the simulator keeps only the first few hundred lines.
+/// Returns the text of a line in the operators' log. Returns `None` for an event that traces a
+/// single request: the simulator keeps only the first few hundred lines of the log, so there is no
+/// room for one line per request.
 fn log_text(event: LogEvent, lists: &EndpointLists) -> Option<String> {
     match event {
         LogEvent::BackendEjected { backend, outcome } => {
@@ -73,7 +74,8 @@
     }
 }
 
-/// The address of a backend, by which operators can look it up; its id if no list has named it.
+/// Returns the address of a backend, by which operators can look it up, or its id if no endpoint
+/// list has contained it.
 fn backend_name(backend: BackendId, lists: &EndpointLists) -> String {
     match lists.address(backend) {
         Some(address) => address.into(),
@@ -81,13 +83,13 @@
     }
 }
 
-/// Writes the line that reports invalid settings of an instance.
+/// Writes the reply line that reports the invalid settings of an instance.
 pub fn write_fault(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
     let text = format!("settings: {error}");
     let _ = write_json(&json!(["BROKEN", instance, text]), reply);
 }
 
-/// Writes the line that ends the reply to a batch.
+/// Writes the last line of the reply to a batch.
 pub fn write_end(reply: &mut Vec<u8>) {
     reply.extend_from_slice(END_OF_REPLY);
 }
--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -1,11 +1,12 @@
-//! The text of log lines, and the lines of actions that the tests of the program do not see.
+//! Tests the text of log lines, and the reply lines of actions that `tests/adapter.rs` does not
+//! cover.
 
 use super::*;
 use crate::message::ListNumber;
 use brookstack_balancer::settings::stable_id;
 use brookstack_balancer::{AttemptNumber, Outcome, RequestId};
 
-/// Endpoint lists that have named the backend `10.0.0.1:80`.
+/// Endpoint lists that contain the backend `10.0.0.1:80`.
 fn lists() -> EndpointLists {
     let rows = [json!(["east", 0, "big", "10.0.0.1:80", "IN", 1, null])];
     let mut lists = EndpointLists::default();
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,5 +1,5 @@
 //! The endpoint lists, which all instances of the process share. The simulator sends each list once
-//! and refers to it by its number.
+//! and then refers to it by its number.
 
 mod row;
 
@@ -13,7 +13,8 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Numbered endpoint lists, and the address of every backend that one of them has named.
+/// The endpoint lists by number, and the address of every backend that any list has contained,
+/// including lists that have been replaced.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: HashMap<ListNumber, Vec<Endpoint>>,
@@ -21,10 +22,10 @@
 }
 
 impl EndpointLists {
-    /// Decodes the rows of a list and stores it under its number, in place of an earlier list.
+    /// Decodes the rows of a list and stores the list, replacing any earlier list with this number.
     ///
     /// # Errors
-    /// A row is malformed, or its address has the same backend id as another address.
+    /// A row is invalid, or its address has the same backend id as another address.
     pub fn store(&mut self, number: ListNumber, rows: &[Value]) -> Result<(), MessageError> {
         let mut endpoints = Vec::with_capacity(rows.len());
         for json in rows {
@@ -37,18 +38,18 @@
         Ok(())
     }
 
-    /// The list with this number.
+    /// Returns the list with this number.
     pub fn get(&self, number: ListNumber) -> Option<&[Endpoint]> {
         self.lists.get(&number).map(Vec::as_slice)
     }
 
-    /// The address of a backend, if a list has named it.
+    /// Returns the address of a backend, or `None` if no list has contained the backend.
     pub fn address(&self, backend: BackendId) -> Option<&str> {
         self.addresses.get(&backend).map(String::as_str)
     }
 
-    /// Backend ids are hashes of addresses, so two addresses can have the same id. The balancer
-    /// would take them for one backend, so this is an error.
+    /// Records the address of a backend. Backend ids are hashes of addresses, so two addresses can
+    /// have the same id. This is an error, because the balancer would treat them as one backend.
     fn remember_address(
         &mut self,
         backend: BackendId,
--- a/crates/simulator-adapter/src/endpoint_lists/row.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/row.rs
@@ -1,4 +1,4 @@
-//! The rows of an endpoint list: each describes one backend.
+//! Decodes the rows of an endpoint list. Each row describes one backend.
 
 use crate::error::MessageError;
 use brookstack_balancer::settings::stable_id;
@@ -7,32 +7,33 @@
 
 const EXPECTED_STATE: &str = "IN, LAME or OUT";
 
-/// A row of an endpoint list.
+/// A row of an endpoint list. On the wire, its columns are zone, cell, machine type, address,
+/// state, weight and start time.
 #[derive(Debug, PartialEq)]
 pub struct EndpointRow<'a> {
     /// The address of the backend, which is also its name. Replies contain it without JSON
-    /// escapes, so it holds no character that JSON escapes.
+    /// escaping, so it must not contain a character that JSON escapes.
     pub address: &'a str,
     /// The name of the backend's zone.
     pub zone: &'a str,
-    /// The cell: backends of one cell share a store of idempotency keys.
+    /// The backend's cell. Backends of one cell share a store of idempotency keys.
     pub cell: u64,
     /// The name of the backend's machine type.
     pub machine_type: &'a str,
     /// Whether the backend accepts requests.
     pub state: BackendState,
-    /// When the backend started, if that is known.
+    /// When the backend started, or `None` if that is unknown.
     pub started_at: Option<Time>,
-    /// The weight of the backend, which is 0 or more.
+    /// The weight of the backend, at least 0.
     pub weight: f64,
 }
 
 impl<'a> EndpointRow<'a> {
-    /// Decodes a row. An error names the first wrong value in the order of the checks here, which
-    /// is not the order of the columns.
+    /// Decodes a row. The values are not checked in the order of the columns; an error describes the
+    /// first value whose check failed.
     ///
     /// # Errors
-    /// The row is not an array of 7 values, or one of them is not what it should be.
+    /// The row is not an array of 7 values, or a value has the wrong type or is out of range.
     pub fn decode(row: &'a Value) -> Result<EndpointRow<'a>, MessageError> {
         let Some([zone, cell, machine_type, address, state, weight, started_at]) = columns(row)
         else {
@@ -57,7 +58,7 @@
         })
     }
 
-    /// The endpoint as the balancer knows it: with ids in place of names.
+    /// Returns the balancer's endpoint for this row, in which ids replace the names.
     pub fn endpoint(&self) -> Endpoint {
         Endpoint {
             id: BackendId(stable_id(self.address)),
@@ -71,12 +72,12 @@
     }
 }
 
-/// The columns of a row; `None` if it is not an array.
+/// Returns the columns of a row, or `None` if the row is not an array.
 fn columns(row: &Value) -> Option<&[Value]> {
     row.as_array().map(Vec::as_slice)
 }
 
-/// One value of a row. Its methods check the value; the error names the whole row.
+/// A value of a row. The methods check the value; their errors report the complete row.
 struct Column<'a> {
     row: &'a Value,
     value: &'a Value,
@@ -106,7 +107,8 @@
         }
     }
 
-    /// A start time in microseconds. Both null and 0 stand for an unknown one.
+    /// Returns the start time, which is written in microseconds. Null and 0 both mean that it is
+    /// unknown.
     fn start_time(&self) -> Result<Option<Time>, MessageError> {
         if self.value.is_null() {
             return Ok(None);
@@ -139,7 +141,7 @@
     }
 }
 
-/// Whether an address can stand in a JSON string without escapes.
+/// Returns whether an address is not empty and can be written in a JSON string without escaping.
 fn is_plain_address(address: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
     !address.is_empty() && address.bytes().all(is_plain)
--- a/crates/simulator-adapter/src/endpoint_lists/tests.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/tests.rs
@@ -1,4 +1,4 @@
-//! Decoding of rows, and what the lists remember of them.
+//! Tests the decoding of rows and the storage of lists and addresses.
 
 use super::*;
 use brookstack_balancer::settings::stable_id;
@@ -43,7 +43,8 @@
     assert_eq!(EndpointRow::decode(&row).unwrap().started_at, None);
 }
 
-/// Every case is also wrong in all values that are checked later, which the error must not name.
+/// Every row with 7 values is also invalid in all values that are checked later. The error must not
+/// report those.
 #[test]
 fn the_first_wrong_value_of_a_row_is_reported_in_the_order_of_the_checks() {
     let cases = [
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors of the adapter. Each says where it occurred, what was expected and what was found.
+//! Errors of the adapter. Error texts state where the error occurred, what was expected and, where
+//! possible, what was found.
 
 use brookstack_balancer::settings::InvalidValue;
 use brookstack_balancer::ConfigError;
@@ -43,38 +44,39 @@
     /// The line is JSON, but not an array.
     #[error("expected a JSON array")]
     NotAnArray,
-    /// The array does not start with text.
+    /// The array is empty, or its first element is not a string.
     #[error("expected a message name first")]
     MissingName,
     /// No message has this name.
     #[error("unknown message {0}")]
     UnknownName(String),
-    /// The number of values after the name is not that of the message.
+    /// The message has too few or too many values after its name.
     #[error("{message}: expected {expected} values, got {got}")]
     ValueCount {
         /// The message's name.
         message: &'static str,
-        /// How many values the message must have.
+        /// The number of values that this message must have.
         expected: usize,
-        /// How many values the line has.
+        /// The number of values that the line has.
         got: usize,
     },
-    /// The line is between two batches, where only a message that sets the clock is valid.
+    /// The message is outside of a batch, where only `TICK`, which starts a batch, is valid.
     #[error("{message}: expected TICK first")]
     ClockNotSet {
         /// The message's name.
         message: &'static str,
     },
-    /// A value of the message has the wrong type or is out of range, or it names something unknown.
+    /// A value of the message has the wrong type, is out of range, or refers to an instance, list,
+    /// class or tenant that does not exist.
     #[error("{message}: value {index}: expected {expected}, got {got}")]
     InvalidValue {
         /// The message's name.
         message: &'static str,
-        /// The value's index, from 0 after the name.
+        /// The index of the value; the first value after the name has index 0.
         index: usize,
         /// What was expected.
         expected: &'static str,
-        /// The value that the line has.
+        /// The value as received.
         got: Value,
     },
     /// A row of an endpoint list is not an array of the right length, or one of its values has the
@@ -86,24 +88,24 @@
         /// What was expected.
         expected: &'static str,
     },
-    /// Two addresses have the same backend id.
+    /// Two addresses have the same backend id, which is a hash of the address.
     #[error("list entry {row}: its address has the number of {known_address}")]
     BackendIdCollision {
         /// The row as received.
         row: Value,
-        /// The address that an earlier row had with this id.
+        /// The address of the earlier row with the same backend id.
         known_address: String,
     },
 }
 
-/// Why an instance could not be created. The reply reports it to the simulator, and the other
-/// instances go on.
+/// The reason why an instance could not be created. It is reported to the simulator in the reply
+/// and does not affect the other instances.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidSettings {
-    /// A key is missing or has an invalid value. The text of the error names the key.
+    /// A key is missing or has an invalid value. The error text names the key.
     #[error(transparent)]
     Unreadable(#[from] InvalidValue),
-    /// Every key could be read, but the balancer rejects the configuration.
+    /// Every key could be read, but the balancer rejected the resulting configuration.
     #[error(transparent)]
     Rejected(#[from] ConfigError),
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Decodes the messages that report an event to one instance.
+//! Decodes messages that report an event to an instance into events of its balancer.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
@@ -13,18 +13,19 @@
 #[cfg(test)]
 mod tests;
 
-/// Set in the flags of an arrival if the client states how much work the request is expected to be.
+/// Bit in the flags of an arrival: the client has stated how much work the request is expected to
+/// be.
 const FLAG_WORK_HINT: u64 = 1;
-/// Set in the flags of an arrival if the client marks the request as a retry.
+/// Bit in the flags of an arrival: the client has marked the request as a retry.
 const FLAG_RETRY: u64 = 2;
 
 const EXPECTED_OUTCOME: &str = "an outcome code from 0 to 7";
 
-/// Decodes an event. The result is `None` for events that the balancer has no use for: it
-/// exchanges no messages with other instances and makes no health checks.
+/// Decodes an event. Returns `None` for messages from other instances and for results of health
+/// checks, because the balancer uses neither.
 ///
 /// # Errors
-/// A value is not what the message must have, or it names an unknown list, class or tenant.
+/// A value has the wrong type, is out of range, or refers to an unknown list, class or tenant.
 pub fn decode(
     event: &EncodedEvent,
     names: &Names,
@@ -49,7 +50,7 @@
     let [_instance, list_number, _version, update] = event.fields()?;
     let update = decode_update(update)?;
     let endpoints = if update == EndpointUpdate::WatchFailed {
-        // A failed watch brings no list, so the number is not read.
+        // A failed watch delivers no list, so the list number is not checked.
         Vec::new()
     } else {
         find_list(list_number, lists)?.to_vec()
@@ -93,13 +94,14 @@
     })
 }
 
-/// Decodes the flags of a request. Any value but a whole number of 0 or more stands for no flags.
+/// Decodes the flags of a request. A value that is not an unsigned integer means that no flag is
+/// set.
 fn decode_flags(field: Field) -> u64 {
     field.value().as_u64().unwrap_or(0)
 }
 
-/// Decodes the work hint of a request, in microseconds. It counts only if its flag is set, and any
-/// value but a whole number of 0 or more stands for a request without a work hint.
+/// Decodes the work hint of a request, in microseconds. The request has no work hint if
+/// [`FLAG_WORK_HINT`] is not set or the value is not an unsigned integer.
 fn decode_work_hint(field: Field, flags: u64) -> Option<Micros> {
     if flags & FLAG_WORK_HINT == 0 {
         return None;
@@ -107,7 +109,8 @@
     field.value().as_u64().map(Micros)
 }
 
-/// Decodes the tenant of a request. Any value but text stands for a request without a tenant.
+/// Decodes the tenant of a request. A value that is not a string means that the request has no
+/// tenant.
 fn decode_tenant(field: Field, names: &Names) -> Result<Option<TenantId>, MessageError> {
     let Value::String(name) = field.value() else {
         return Ok(None);
@@ -135,7 +138,8 @@
 fn decode_attempt_end(event: &EncodedEvent) -> Result<AttemptEnd, MessageError> {
     let [_instance, request, attempt, backend, outcome, latency, settled, _load_report] =
         event.fields()?;
-    // The balancer knows the backend from the request and the attempt.
+    // The balancer identifies the backend by the request and the attempt, so only the type of this
+    // value is checked.
     let _checked_backend = backend.text("a backend")?;
     let request = decode_request(request)?;
     let attempt = decode_attempt(attempt)?;
--- a/crates/simulator-adapter/src/event/tests.rs
+++ b/crates/simulator-adapter/src/event/tests.rs
@@ -1,4 +1,5 @@
-//! Decoding of events: valid ones, wrong values, and values that are not checked.
+//! Tests the decoding of valid events, the errors for invalid values, and which values are not
+//! checked.
 
 use super::*;
 use crate::message::{EncodedMessage, Message};
@@ -16,7 +17,7 @@
     names
 }
 
-/// Endpoint lists of which only the one with the number 0 exists.
+/// Endpoint lists that contain only a list with the number 0.
 fn lists() -> EndpointLists {
     let rows = [json!(["east", 0, "big", "10.0.0.1:80", "IN", 1, null])];
     let mut lists = EndpointLists::default();
@@ -55,14 +56,14 @@
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, "any key", "north", 3, "pay"]);
     assert_decoded(line, Event::Request(arrival.clone()));
 
-    // Flags of 0 declare no work hint. Anything but text stands for no tenant.
+    // Without its flag, the work hint is ignored. A tenant that is not a string means no tenant.
     arrival.work_hint = None;
     arrival.is_retry = false;
     arrival.tenant = None;
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, {}, 5, 0, "pay"]);
     assert_decoded(line, Event::Request(arrival.clone()));
 
-    // Flags and work hints of a wrong type stand for none.
+    // Flags of a wrong type mean no flags, and a work hint of a wrong type means no work hint.
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, {}, 5, "3", "pay"]);
     assert_decoded(line, Event::Request(arrival.clone()));
     let line = json!(["JOB_IN", "proxy-3", id, "70", 900, {}, 5, 1, "pay"]);
@@ -167,7 +168,8 @@
     );
 }
 
-/// Every case is also wrong in a value that is checked later, which the error must not name.
+/// Every case except the last also has an invalid value that is checked later. The error must not
+/// report that one.
 #[test]
 fn the_first_wrong_value_of_an_arrival_is_reported_in_the_order_of_the_checks() {
     let id = "00000000000000ab";
@@ -204,7 +206,8 @@
     );
 }
 
-/// Every case is also wrong in a value that is checked later, which the error must not name.
+/// Every case except the last also has an invalid value that is checked later. The error must not
+/// report that one.
 #[test]
 fn the_first_wrong_value_of_an_attempt_end_is_reported_in_the_order_of_the_checks() {
     let id = "00000000000000ab";
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Owns the instances of this process and carries out each message.
+//! Owns the instances of this process and executes each message.
 
 use crate::encode;
 use crate::endpoint_lists::EndpointLists;
@@ -13,24 +13,24 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Whether a batch is complete after one of its messages.
+/// Whether a batch is complete once a message has been handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
     /// More messages of the batch follow.
     Open,
-    /// The reply is complete and must be written now.
+    /// The batch has ended: its reply is complete and must be written now.
     Complete,
 }
 
 /// One simulated proxy.
 struct Instance {
     balancer: Balancer,
-    /// The names of its classes and tenants, by which events refer to them.
+    /// Maps the class and tenant names in events to ids.
     names: Names,
 }
 
 impl Instance {
-    /// Creates an instance from its settings and the seed of its random generator.
+    /// Creates an instance from its settings and the seed of its random number generator.
     fn new(settings: &Value, seed: u64) -> Result<Instance, InvalidSettings> {
         let Settings { config, names } = settings::read(&Key::root(settings))?;
         let balancer = Balancer::new(config, seed)?;
@@ -38,26 +38,26 @@
     }
 }
 
-/// All instances of this process, the endpoint lists that they share, and the clock of the batch.
+/// All instances of this process, the endpoint lists that they share, and the clock.
 #[derive(Default)]
 pub struct Host {
-    /// Instances by name. `None` stands for an instance whose settings were invalid; its events are
-    /// skipped.
+    /// Instances by name. The value is `None` for an instance whose settings were invalid; its
+    /// events are skipped.
     instances: HashMap<String, Option<Instance>>,
     lists: EndpointLists,
-    /// The time of all messages of the current batch. `None` between two batches.
+    /// The clock of the current batch, or `None` between two batches.
     now: Option<Time>,
-    /// The actions of one event. It is empty between two messages, and is a field so that its
-    /// memory is used again.
+    /// Buffer for the actions of one event, empty between two messages. It is a field so that its
+    /// allocation is reused.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles one line of input and appends the lines that answer it to the reply.
+    /// Handles one line of input and appends its reply lines to `reply`.
     ///
     /// # Errors
-    /// The line is not a valid message. The caller must not use the host afterwards, because the
-    /// message may have been carried out in part.
+    /// The line is not a valid message. The caller must not use the host after an error, because
+    /// part of the message may already have taken effect.
     pub fn handle_line(
         &mut self,
         line: &str,
@@ -89,10 +89,11 @@
         Ok(BatchState::Open)
     }
 
-    /// Sets the clock of a new batch. Other messages are rejected before their values are decoded.
+    /// Starts a batch by setting its clock. Rejects every other message without decoding its
+    /// values.
     ///
     /// # Errors
-    /// The message does not set the clock, or its time is invalid.
+    /// The message is not [`MessageKind::SetClock`], or its time is invalid.
     fn start_batch(&mut self, message: &EncodedMessage) -> Result<BatchState, MessageError> {
         if message.kind() != MessageKind::SetClock {
             return Err(MessageError::ClockNotSet {
@@ -104,8 +105,8 @@
         Ok(BatchState::Open)
     }
 
-    /// Creates an instance. If its settings are invalid, the reply reports it, and the process goes
-    /// on with the other instances.
+    /// Creates an instance. Invalid settings are reported in the reply and on standard error; they
+    /// do not affect the other instances.
     fn create_instance(&mut self, name: &str, seed: u64, settings: &Value, reply: &mut Vec<u8>) {
         let instance = match Instance::new(settings, seed) {
             Ok(instance) => Some(instance),
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Passes an event on to its instance and writes the actions that the balancer returns.
+    /// Passes an event to its instance and writes the actions that the balancer returns.
     fn handle_event(
         &mut self,
         reference: InstanceReference,
@@ -138,7 +139,7 @@
             return Err(reference.unknown());
         };
         let Some(instance) = slot else {
-            // Its settings were invalid, which the reply to its creation has reported.
+            // The settings were invalid. The reply to `CREATE` has reported that.
             return Ok(());
         };
         let Some(event) = event::decode(event, &instance.names, &self.lists)? else {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,11 @@
-//! Hosts instances of the balancer for a simulator: JSON lines on standard input and output.
+//! Runs instances of the balancer for a simulator, which sends JSON lines to standard input and
+//! reads JSON lines from standard output.
 //!
 //! The program only translates between lines and the balancer's events and actions. Each simulated
-//! proxy has a [`brookstack_balancer::Balancer`] of its own, which makes all decisions.
+//! proxy is an instance with its own [`brookstack_balancer::Balancer`], which makes all decisions.
+//!
+//! The simulator sends its messages in batches. `TICK` starts a batch and sets its clock, `END`
+//! ends it. The program then writes the reply to the whole batch, which ends with `YIELD`.
 //!
 //! Modules:
 //!
@@ -24,7 +28,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The name that starts every line on standard error.
+/// Prefix of every line on standard error.
 const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
 
 fn main() -> ExitCode {
@@ -39,13 +43,13 @@
     }
 }
 
-/// Handles the lines of the input until it ends. The reply to a batch is written when the batch is
-/// complete.
+/// Handles each line of the input until its end, and writes the reply to each batch as soon as the
+/// batch is complete.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Vec::new();
     let mut text = String::new();
-    // The number of the line, from 1.
+    // Line numbers start at 1.
     let mut line = 0;
     loop {
         line += 1;
--- a/crates/simulator-adapter/src/message/decode.rs
+++ b/crates/simulator-adapter/src/message/decode.rs
@@ -1,12 +1,12 @@
-//! Decodes the values of the messages, except those of events.
+//! Decodes the values of messages, except those of events.
 
 use super::{EncodedEvent, EncodedMessage, ListNumber, Message, MessageKind};
 use crate::error::MessageError;
 use brookstack_balancer::Time;
 
-/// What comes before the number in an instance's name.
+/// Prefix of every instance name; a number follows it.
 const INSTANCE_PREFIX: &str = "proxy-";
-/// The highest number that an endpoint list can have.
+/// The highest valid number of an endpoint list.
 const MAX_LIST_NUMBER: u64 = 15;
 const EXPECTED_LIST_NUMBER: &str = "a roster number from 0 to 15";
 
@@ -14,7 +14,7 @@
     /// Decodes the values of a message, except those of an event.
     ///
     /// # Errors
-    /// A value is not what the message must have.
+    /// A value has the wrong type or is out of range.
     pub fn decode(message: &EncodedMessage<'a>) -> Result<Message<'a>, MessageError> {
         match message.kind() {
             MessageKind::SetClock => {
@@ -40,7 +40,7 @@
 /// Decodes the time of [`MessageKind::SetClock`].
 ///
 /// # Errors
-/// The time is not a number of microseconds.
+/// The time is not an unsigned integer.
 pub fn decode_clock(message: &EncodedMessage) -> Result<Time, MessageError> {
     let [time] = message.fields()?;
     let micros = time.unsigned("the clock in microseconds")?;
@@ -74,8 +74,8 @@
     })
 }
 
-/// Whether a name is `proxy-` and a number. Replies contain the name without JSON escapes, so that
-/// it must not hold a character that JSON escapes.
+/// Returns whether a name consists of `proxy-` and a number. Replies contain the name without JSON
+/// escaping, so it must not contain a character that JSON escapes.
 fn is_instance_name(name: &str) -> bool {
     match name.strip_prefix(INSTANCE_PREFIX) {
         Some(number) => number.parse::<u64>().is_ok(),
--- a/crates/simulator-adapter/src/message/encoded.rs
+++ b/crates/simulator-adapter/src/message/encoded.rs
@@ -1,4 +1,4 @@
-//! Messages whose name and number of values are right, and whose values are not decoded yet.
+//! Messages whose name and number of values are valid and whose values are not decoded yet.
 
 use super::field::Field;
 use super::kind::{EventKind, MessageKind, WireFormat};
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::array;
 
-/// Index of the instance in every message that has one.
+/// Index of the instance name among the values of every message that refers to an instance.
 const INSTANCE: usize = 0;
 
 /// A message whose values are not decoded yet.
@@ -17,7 +17,7 @@
 }
 
 impl<'a> EncodedMessage<'a> {
-    /// Reads the name of a message and checks the number of its values.
+    /// Finds the wire format of a message by its name and checks the number of values.
     ///
     /// # Errors
     /// The line is not an array, its name is missing or unknown, or it has too few or too many
@@ -37,17 +37,17 @@
         Ok(message)
     }
 
-    /// What the message is.
+    /// Returns the kind of the message.
     pub fn kind(&self) -> MessageKind {
         self.format.kind
     }
 
-    /// The message's name on the wire.
+    /// Returns the message's name on the wire.
     pub fn name(&self) -> &'static str {
         self.format.name
     }
 
-    /// All values, in the order of the wire.
+    /// Returns all values in wire order.
     ///
     /// # Errors
     /// The message does not have `COUNT` values.
@@ -56,10 +56,11 @@
         Ok(array::from_fn(|index| self.field(index)))
     }
 
-    /// The instance that the message is for. Only messages that have one may be asked.
+    /// Returns the instance that the message refers to. It must not be called for messages that do
+    /// not refer to an instance, such as `END`.
     ///
     /// # Errors
-    /// The value is not text.
+    /// The instance name is not a string.
     pub fn instance(&self) -> Result<InstanceReference<'a>, MessageError> {
         let field = self.field(INSTANCE);
         let name = field.text("an instance")?;
@@ -90,17 +91,17 @@
 }
 
 impl<'a> EncodedEvent<'a> {
-    /// An event of this kind, which `message` reports.
+    /// Creates an event of this kind from the message that reports it.
     pub fn new(kind: EventKind, message: EncodedMessage<'a>) -> EncodedEvent<'a> {
         EncodedEvent { kind, message }
     }
 
-    /// What happened.
+    /// Returns the kind of the event.
     pub fn kind(&self) -> EventKind {
         self.kind
     }
 
-    /// All values of the message, in the order of the wire. The first is the instance.
+    /// Returns all values of the message in wire order. The first one is the instance name.
     ///
     /// # Errors
     /// The message does not have `COUNT` values.
@@ -109,7 +110,7 @@
     }
 }
 
-/// The instance that a message is for. No such instance may exist.
+/// A message's reference to an instance by its name. The instance does not necessarily exist.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InstanceReference<'a> {
     field: Field<'a>,
@@ -117,12 +118,12 @@
 }
 
 impl<'a> InstanceReference<'a> {
-    /// The name of the instance.
+    /// Returns the name of the instance.
     pub fn name(&self) -> &'a str {
         self.name
     }
 
-    /// The error that no such instance exists.
+    /// Returns the error that no instance with this name exists.
     pub fn unknown(&self) -> MessageError {
         self.field.invalid("a known instance")
     }
--- a/crates/simulator-adapter/src/message/field.rs
+++ b/crates/simulator-adapter/src/message/field.rs
@@ -1,13 +1,13 @@
-//! One value of a message.
+//! A single value of a message.
 
 use crate::error::MessageError;
 use serde_json::Value;
 
-/// Digits of a request id on the wire.
+/// Number of hexadecimal digits in a request id on the wire.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// One value of a message. It knows its place, which an error names. Its methods check the value
-/// and take the text that the error gives for what was expected.
+/// A value of a message together with its position, which errors report. The methods check the
+/// type of the value; their `expected` argument is the description of a valid value for the error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Field<'a> {
     message: &'static str,
@@ -16,7 +16,8 @@
 }
 
 impl<'a> Field<'a> {
-    /// The value with this index, from 0 after the name, in a message of this name.
+    /// Creates the field for the value at `index` of the message with the name `message`. The first
+    /// value after the name has index 0.
     pub fn new(message: &'static str, index: usize, value: &'a Value) -> Field<'a> {
         Field {
             message,
@@ -25,12 +26,12 @@
         }
     }
 
-    /// The value, unchecked.
+    /// Returns the value without checking it.
     pub fn value(self) -> &'a Value {
         self.value
     }
 
-    /// The error that the value is not what was expected.
+    /// Returns the error that the value does not match `expected`.
     pub fn invalid(self, expected: &'static str) -> MessageError {
         MessageError::InvalidValue {
             message: self.message,
@@ -40,22 +41,22 @@
         }
     }
 
-    /// The value as text.
+    /// Returns the value as a string.
     pub fn text(self, expected: &'static str) -> Result<&'a str, MessageError> {
         self.value.as_str().ok_or_else(|| self.invalid(expected))
     }
 
-    /// The value as a whole number of 0 or more.
+    /// Returns the value as an unsigned integer.
     pub fn unsigned(self, expected: &'static str) -> Result<u64, MessageError> {
         self.value.as_u64().ok_or_else(|| self.invalid(expected))
     }
 
-    /// The value as true or false.
+    /// Returns the value as a boolean.
     pub fn boolean(self, expected: &'static str) -> Result<bool, MessageError> {
         self.value.as_bool().ok_or_else(|| self.invalid(expected))
     }
 
-    /// The value as an array.
+    /// Returns the elements of the value, which must be an array.
     pub fn array(self, expected: &'static str) -> Result<&'a [Value], MessageError> {
         match self.value {
             Value::Array(items) => Ok(items),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The value as a request id: 16 lower-case hex digits.
+    /// Returns the value as a request id, which is written as 16 lower-case hexadecimal digits.
     pub fn request_id(self) -> Result<u64, MessageError> {
         let text = self.text("a request id of 16 hex digits")?;
         parse_request_id(text)
--- a/crates/simulator-adapter/src/message/kind.rs
+++ b/crates/simulator-adapter/src/message/kind.rs
@@ -1,27 +1,29 @@
-//! The kinds of messages, and how each is written on the wire.
+//! The kinds of messages and their wire formats.
 
-/// What a message is. In parentheses: its name on the wire and the values that follow the name.
+/// The kind of a message. Each variant lists the name on the wire and, in parentheses, the values
+/// that follow the name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
-    /// `TICK` (time): the clock of the batch that follows.
+    /// `TICK` (time): starts a batch if none is open, and sets its clock.
     SetClock,
-    /// `END` (): the batch is complete and the reply is due.
+    /// `END` (): ends the batch; its reply must be written.
     EndBatch,
-    /// `SNAPSHOT_ROWS` (list number, rows): the rows of an endpoint list.
+    /// `SNAPSHOT_ROWS` (list number, rows): stores an endpoint list.
     StoreEndpointList,
-    /// `CREATE` (instance, seed, settings): a new instance and its settings.
+    /// `CREATE` (instance, seed, settings): creates an instance.
     CreateInstance,
-    /// `KILLED` (instance): an instance has gone.
+    /// `KILLED` (instance): removes an instance.
     RemoveInstance,
-    /// Something happened to an instance.
+    /// Reports an event to an instance.
     Event(EventKind),
 }
 
-/// What happened to an instance. In parentheses: the message's values on the wire.
+/// The kind of an event. Each variant lists the name on the wire and, in parentheses, the values
+/// that follow the name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// `VIEW` (instance, list number, version, kind of update): discovery has sent an endpoint
-    /// list to the instance.
+    /// list to the instance, or the watch on it has failed.
     EndpointsUpdated,
     /// `JOB_IN` (instance, request, work hint, time left, key, tenant, flags, class): a request has
     /// arrived.
@@ -42,14 +44,14 @@
     HealthCheckResult,
 }
 
-/// How messages of one kind are written on the wire.
+/// The wire format of the messages of one kind.
 #[derive(Debug, PartialEq)]
 pub struct WireFormat {
     /// The kind of the messages.
     pub kind: MessageKind,
     /// The name that a line starts with.
     pub name: &'static str,
-    /// How many values follow the name.
+    /// The number of values that follow the name.
     pub value_count: usize,
 }
 
@@ -83,7 +85,7 @@
 }
 
 impl WireFormat {
-    /// The format of the messages of this name.
+    /// Returns the format of the messages with this name.
     pub fn of_name(name: &str) -> Option<&'static WireFormat> {
         WIRE_FORMATS.iter().find(|format| format.name == name)
     }
--- a/crates/simulator-adapter/src/message/tests.rs
+++ b/crates/simulator-adapter/src/message/tests.rs
@@ -1,23 +1,24 @@
-//! Decoding of messages: valid ones, wrong numbers of values and wrong values.
+//! Tests the decoding of valid messages and the errors for invalid names, numbers of values and
+//! values.
 
 use super::kind::WIRE_FORMATS;
 use super::*;
 use crate::error::MessageError;
 use serde_json::json;
 
-/// Decodes a message that must have a valid name and number of values.
+/// Decodes a message, whose name and number of values must be valid.
 fn decode(line: &Value) -> Result<Message<'_>, MessageError> {
     let message = EncodedMessage::from_json(line).unwrap();
     Message::decode(&message)
 }
 
-/// The error that the name or the number of values is wrong.
+/// Returns the error text for a message with an invalid name or number of values.
 fn format_error(line: &Value) -> String {
     let error = EncodedMessage::from_json(line).unwrap_err();
     error.to_string()
 }
 
-/// The error that a value is wrong.
+/// Returns the error text for a message with an invalid value.
 fn value_error(line: &Value) -> String {
     decode(line).unwrap_err().to_string()
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,13 +1,14 @@
-//! The built adapter on batches of the simulator's messages: what it replies, and which lines it
-//! rejects.
+//! Runs the compiled adapter on batches of simulator messages, and checks its replies and the
+//! errors for lines that it rejects.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Settings of an instance. `create` removes the line breaks, because a message is one line.
+/// Valid settings of an instance. [`create`] removes the line breaks, because a message is a single
+/// line.
 const SETTINGS: &str = include_str!("settings.json");
 
-/// Creates the instance `proxy-3`.
+/// Returns the message that creates the instance `proxy-3`.
 fn create(settings: &str) -> String {
     format!(
         "[\"CREATE\",\"proxy-3\",99,{}]\n",
@@ -15,12 +16,12 @@
     )
 }
 
-/// Stores a list of one ready endpoint, and notifies the instance of it.
+/// The messages that store a list of one ready endpoint and notify the instance of it.
 const ENDPOINT_LIST: &str = r#"["SNAPSHOT_ROWS",0,[["east",0,"big","10.0.0.1:80","IN",1,null]]]
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// What the adapter wrote and how it ended.
+/// The output of the adapter and whether it exited successfully.
 struct Run {
     output: String,
     errors: String,
@@ -36,7 +37,7 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    // The write fails if the adapter has rejected an early line and has exited.
+    // The write fails if the adapter has already rejected a line and exited.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let finished = child.wait_with_output().unwrap();
@@ -144,7 +145,7 @@
     );
 }
 
-/// The error names the number of the line and what was expected.
+/// The error reports the line number and what was expected.
 #[test]
 fn malformed_lines_are_reported_and_end_the_process() {
     let create = create(SETTINGS);
@@ -176,7 +177,7 @@
     );
 }
 
-/// A line that the adapter rejects, and a part of the error that it reports.
+/// A line that the adapter must reject, and a part of the expected error text.
 struct MalformedLine {
     line: String,
     expected_error: &'static str,
@@ -270,7 +271,7 @@
     }
 }
 
-/// The name and the number of values are checked all the same, and so is whether the clock is set.
+/// The name and the number of values are still checked, and so is whether the clock is set.
 #[test]
 fn an_event_for_an_instance_with_invalid_settings_is_skipped_whatever_its_values_are() {
     let create = "[\"CREATE\",\"proxy-3\",99,{}]\n";
