--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -85,7 +85,7 @@
 
 /// Writes the reply line that reports the invalid settings of an instance.
 pub fn write_fault(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
-    let text = format!("settings: {error}");
+    let text = format!("invalid settings: {error}");
     let _ = write_json(&json!(["BROKEN", instance, text]), reply);
 }
 
--- a/crates/simulator-adapter/src/endpoint_lists/row.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/row.rs
@@ -6,6 +6,8 @@
 use serde_json::Value;
 
 const EXPECTED_STATE: &str = "IN, LAME or OUT";
+const EXPECTED_PLAIN_ADDRESS: &str =
+    "a non-empty address of printable ASCII without spaces, double quotes or backslashes";
 
 /// A row of an endpoint list. On the wire, its columns are zone, cell, machine type, address,
 /// state, weight and start time.
@@ -29,8 +31,8 @@
 }
 
 impl<'a> EndpointRow<'a> {
-    /// Decodes a row. The values are not checked in the order of the columns; an error describes the
-    /// first value whose check failed.
+    /// Decodes a row. The values are not checked in the order of the columns; an error describes
+    /// the first value whose check failed.
     ///
     /// # Errors
     /// The row is not an array of 7 values, or a value has the wrong type or is out of range.
@@ -43,9 +45,9 @@
         let address = column(address).address()?;
         let state = column(state).state()?;
         let started_at = column(started_at).start_time()?;
-        let zone = column(zone).text("a zone")?;
+        let zone = column(zone).text("a zone name")?;
         let cell = column(cell).cell()?;
-        let machine_type = column(machine_type).text("a kind")?;
+        let machine_type = column(machine_type).text("a machine type name")?;
         let weight = column(weight).weight()?;
         Ok(EndpointRow {
             address,
@@ -91,9 +93,9 @@
     }
 
     fn address(&self) -> Result<&'a str, MessageError> {
-        let address = self.text("an address")?;
+        let address = self.text("an address as a string")?;
         if !is_plain_address(address) {
-            return Err(invalid_row(self.row, "a plain address"));
+            return Err(invalid_row(self.row, EXPECTED_PLAIN_ADDRESS));
         }
         Ok(address)
     }
@@ -116,7 +118,10 @@
         match self.value.as_u64() {
             Some(0) => Ok(None),
             Some(micros) => Ok(Some(Time(micros))),
-            None => Err(invalid_row(self.row, "a start time or null")),
+            None => Err(invalid_row(
+                self.row,
+                "a start time in microseconds or null",
+            )),
         }
     }
 
--- a/crates/simulator-adapter/src/endpoint_lists/tests.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/tests.rs
@@ -7,6 +7,9 @@
 
 const NUMBER: ListNumber = ListNumber(4);
 
+const PLAIN_ADDRESS: &str =
+    "a non-empty address of printable ASCII without spaces, double quotes or backslashes";
+
 fn row_error(row: &Value) -> String {
     EndpointRow::decode(row).unwrap_err().to_string()
 }
@@ -50,25 +53,28 @@
     let cases = [
         (json!({}), "an array of 7 values"),
         (json!(["east", 0]), "an array of 7 values"),
-        (json!([1, -1, 1, 1, "UP", -1, -1]), "an address"),
-        (json!([1, -1, 1, "", "UP", -1, -1]), "a plain address"),
-        (json!([1, -1, 1, "a\"1", "UP", -1, -1]), "a plain address"),
+        (json!([1, -1, 1, 1, "UP", -1, -1]), "an address as a string"),
+        (json!([1, -1, 1, "", "UP", -1, -1]), PLAIN_ADDRESS),
+        (json!([1, -1, 1, "a\"1", "UP", -1, -1]), PLAIN_ADDRESS),
         (json!([1, -1, 1, "a:1", 5, -1, -1]), "IN, LAME or OUT"),
         (json!([1, -1, 1, "a:1", "UP", -1, -1]), "IN, LAME or OUT"),
         (
             json!([1, -1, 1, "a:1", "IN", -1, -1]),
-            "a start time or null",
+            "a start time in microseconds or null",
         ),
-        (json!([1, -1, 1, "a:1", "IN", -1, 5]), "a zone"),
+        (json!([1, -1, 1, "a:1", "IN", -1, 5]), "a zone name"),
         (json!(["east", -1, 1, "a:1", "IN", -1, 5]), "a cell number"),
-        (json!(["east", 0, 1, "a:1", "IN", -1, 5]), "a kind"),
+        (
+            json!(["east", 0, 1, "a:1", "IN", -1, 5]),
+            "a machine type name",
+        ),
         (
             json!(["east", 0, "big", "a:1", "IN", -1, 5]),
             "a weight of 0 or more",
         ),
     ];
     for (row, expected) in cases {
-        let expected = format!("list entry {row}: expected {expected}");
+        let expected = format!("endpoint list row {row}: expected {expected}");
         assert_eq!(row_error(&row), expected);
     }
 }
@@ -103,6 +109,6 @@
     lists.addresses.insert(backend, "z:1".into());
     let error = lists.store(NUMBER, &rows).unwrap_err();
     let row = &rows[0];
-    let expected = format!("list entry {row}: its address has the number of z:1");
+    let expected = format!("endpoint list row {row}: its address has the same backend id as z:1");
     assert_eq!(error.to_string(), expected);
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input could not be read.
-    #[error("line {line}: {source}")]
+    #[error("could not read line {line} of standard input: {source}")]
     Read {
         /// The number of the line, from 1.
         line: u64,
@@ -18,7 +18,7 @@
         source: io::Error,
     },
     /// A line is not a valid message.
-    #[error("line {line}: {source}")]
+    #[error("invalid message in line {line}: {source}")]
     Message {
         /// The number of the line, from 1.
         line: u64,
@@ -26,7 +26,7 @@
         source: MessageError,
     },
     /// Standard output could not be written.
-    #[error("reply after line {line}: {source}")]
+    #[error("could not write the reply to the batch that ended in line {line}: {source}")]
     Write {
         /// The number of the line that completed the batch, from 1.
         line: u64,
@@ -39,19 +39,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// The line is not JSON.
-    #[error("expected a JSON array: {0}")]
+    #[error("expected a JSON array, got invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The line is JSON, but not an array.
     #[error("expected a JSON array")]
     NotAnArray,
     /// The array is empty, or its first element is not a string.
-    #[error("expected a message name first")]
+    #[error("expected a message name as the first element of the array")]
     MissingName,
     /// No message has this name.
     #[error("unknown message {0}")]
     UnknownName(String),
     /// The message has too few or too many values after its name.
-    #[error("{message}: expected {expected} values, got {got}")]
+    #[error("{message}: expected {expected} values after the name, got {got}")]
     ValueCount {
         /// The message's name.
         message: &'static str,
@@ -61,7 +61,7 @@
         got: usize,
     },
     /// The message is outside of a batch, where only `TICK`, which starts a batch, is valid.
-    #[error("{message}: expected TICK first")]
+    #[error("{message}: expected TICK as the first message of a batch")]
     ClockNotSet {
         /// The message's name.
         message: &'static str,
@@ -81,7 +81,7 @@
     },
     /// A row of an endpoint list is not an array of the right length, or one of its values has the
     /// wrong type or is out of range.
-    #[error("list entry {row}: expected {expected}")]
+    #[error("endpoint list row {row}: expected {expected}")]
     InvalidRow {
         /// The row as received.
         row: Value,
@@ -89,7 +89,7 @@
         expected: &'static str,
     },
     /// Two addresses have the same backend id, which is a hash of the address.
-    #[error("list entry {row}: its address has the number of {known_address}")]
+    #[error("endpoint list row {row}: its address has the same backend id as {known_address}")]
     BackendIdCollision {
         /// The row as received.
         row: Value,
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -20,9 +20,10 @@
 const FLAG_RETRY: u64 = 2;
 
 const EXPECTED_OUTCOME: &str = "an outcome code from 0 to 7";
+const EXPECTED_UPDATE: &str = "incr, total, warm_copy or lost";
 
 /// Decodes an event. Returns `None` for messages from other instances and for results of health
-/// checks, because the balancer uses neither.
+/// checks, because the balancer exchanges no messages and makes no health checks.
 ///
 /// # Errors
 /// A value has the wrong type, is out of range, or refers to an unknown list, class or tenant.
@@ -59,19 +60,19 @@
 }
 
 fn find_list<'a>(field: Field, lists: &'a EndpointLists) -> Result<&'a [Endpoint], MessageError> {
-    let number = field.unsigned("a roster number")?;
+    let number = field.unsigned("an endpoint list number")?;
     lists
         .get(ListNumber(number))
-        .ok_or_else(|| field.invalid("a known roster number"))
+        .ok_or_else(|| field.invalid("a known endpoint list number"))
 }
 
 fn decode_update(field: Field) -> Result<EndpointUpdate, MessageError> {
-    match field.text("a list kind")? {
+    match field.text(EXPECTED_UPDATE)? {
         "incr" => Ok(EndpointUpdate::Delta),
         "total" => Ok(EndpointUpdate::Snapshot),
         "warm_copy" => Ok(EndpointUpdate::Cached),
         "lost" => Ok(EndpointUpdate::WatchFailed),
-        _ => Err(field.invalid("incr, total, warm_copy or lost")),
+        _ => Err(field.invalid(EXPECTED_UPDATE)),
     }
 }
 
@@ -122,7 +123,7 @@
 }
 
 fn decode_class(field: Field, names: &Names) -> Result<ClassId, MessageError> {
-    let name = field.text("a class")?;
+    let name = field.text("a class name")?;
     names
         .class(name)
         .ok_or_else(|| field.invalid("a known class"))
@@ -140,11 +141,11 @@
         event.fields()?;
     // The balancer identifies the backend by the request and the attempt, so only the type of this
     // value is checked.
-    let _checked_backend = backend.text("a backend")?;
+    let _checked_backend = backend.text("a backend address")?;
     let request = decode_request(request)?;
     let attempt = decode_attempt(attempt)?;
     let outcome = decode_outcome(outcome)?;
-    let latency = latency.unsigned("a time in microseconds")?;
+    let latency = latency.unsigned("a latency in microseconds")?;
     let settled = settled.boolean("true or false")?;
     Ok(AttemptEnd {
         request,
@@ -178,7 +179,7 @@
 
 fn decode_timer_fired(event: &EncodedEvent) -> Result<Event, MessageError> {
     let [_instance, token] = event.fields()?;
-    let token = token.unsigned("a token")?;
+    let token = token.unsigned("a timer token")?;
     Ok(Event::Timer {
         token: TimerToken(token),
     })
@@ -190,6 +191,6 @@
 }
 
 fn decode_attempt(field: Field) -> Result<AttemptNumber, MessageError> {
-    let number = field.unsigned("an attempt")?;
+    let number = field.unsigned("an attempt number")?;
     Ok(AttemptNumber(number as u32))
 }
--- a/crates/simulator-adapter/src/event/tests.rs
+++ b/crates/simulator-adapter/src/event/tests.rs
@@ -156,15 +156,15 @@
     );
     assert_rejected(
         json!(["VIEW", "proxy-3", "0", 1, "incr"]),
-        "VIEW: value 1: expected a roster number, got \"0\"",
+        "VIEW: value 1: expected an endpoint list number, got \"0\"",
     );
     assert_rejected(
         json!(["VIEW", "proxy-3", 9, 1, "incr"]),
-        "VIEW: value 1: expected a known roster number, got 9",
+        "VIEW: value 1: expected a known endpoint list number, got 9",
     );
     assert_rejected(
         json!(["TIMEOUT_FIRED", "proxy-3", "7"]),
-        "TIMEOUT_FIRED: value 1: expected a token, got \"7\"",
+        "TIMEOUT_FIRED: value 1: expected a timer token, got \"7\"",
     );
 }
 
@@ -198,7 +198,7 @@
     );
     assert_rejected(
         json!(["JOB_IN", "proxy-3", id, null, 900, null, "north", 0, 1]),
-        "JOB_IN: value 7: expected a class, got 1",
+        "JOB_IN: value 7: expected a class name, got 1",
     );
     assert_rejected(
         json!(["JOB_IN", "proxy-3", id, null, 900, null, "north", 0, "none"]),
@@ -213,15 +213,15 @@
     let id = "00000000000000ab";
     assert_rejected(
         json!(["RETURNED", "proxy-3", 1, -1, null, 8, -1, 1, null]),
-        "RETURNED: value 3: expected a backend, got null",
+        "RETURNED: value 3: expected a backend address, got null",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", 1, -1, "b", 8, -1, 1, null]),
-        "RETURNED: value 1: expected a request id of 16 hex digits, got 1",
+        "RETURNED: value 1: expected a request id as a string, got 1",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, -1, "b", 8, -1, 1, null]),
-        "RETURNED: value 2: expected an attempt, got -1",
+        "RETURNED: value 2: expected an attempt number, got -1",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, 0, "b", 8, -1, 1, null]),
@@ -229,7 +229,7 @@
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, 0, "b", 7, -1, 1, null]),
-        "RETURNED: value 5: expected a time in microseconds, got -1",
+        "RETURNED: value 5: expected a latency in microseconds, got -1",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, 0, "b", 7, 1, 1, null]),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -111,7 +111,9 @@
         let instance = match Instance::new(settings, seed) {
             Ok(instance) => Some(instance),
             Err(error) => {
-                eprintln!("{PROGRAM_NAME}: settings of {name}: {error}");
+                eprintln!(
+                    "{PROGRAM_NAME}: invalid settings for {name}, ignoring its events: {error}"
+                );
                 encode::write_fault(name, &error, reply);
                 None
             }
--- a/crates/simulator-adapter/src/message/decode.rs
+++ b/crates/simulator-adapter/src/message/decode.rs
@@ -8,7 +8,7 @@
 const INSTANCE_PREFIX: &str = "proxy-";
 /// The highest valid number of an endpoint list.
 const MAX_LIST_NUMBER: u64 = 15;
-const EXPECTED_LIST_NUMBER: &str = "a roster number from 0 to 15";
+const EXPECTED_LIST_NUMBER: &str = "an endpoint list number from 0 to 15";
 
 impl<'a> Message<'a> {
     /// Decodes the values of a message, except those of an event.
@@ -43,7 +43,7 @@
 /// The time is not an unsigned integer.
 pub fn decode_clock(message: &EncodedMessage) -> Result<Time, MessageError> {
     let [time] = message.fields()?;
-    let micros = time.unsigned("the clock in microseconds")?;
+    let micros = time.unsigned("a time in microseconds")?;
     Ok(Time(micros))
 }
 
@@ -53,7 +53,7 @@
     if number > MAX_LIST_NUMBER {
         return Err(number_field.invalid(EXPECTED_LIST_NUMBER));
     }
-    let rows = rows.array("an array of entries")?;
+    let rows = rows.array("an array of endpoint list rows")?;
     Ok(Message::StoreEndpointList {
         number: ListNumber(number),
         rows,
@@ -62,11 +62,11 @@
 
 fn decode_new_instance<'a>(message: &EncodedMessage<'a>) -> Result<Message<'a>, MessageError> {
     let [name_field, seed, settings] = message.fields()?;
-    let name = name_field.text("an instance")?;
+    let name = name_field.text("an instance name")?;
     if !is_instance_name(name) {
-        return Err(name_field.invalid("an instance such as proxy-3"));
+        return Err(name_field.invalid("an instance name such as proxy-3"));
     }
-    let seed = seed.unsigned("a seed")?;
+    let seed = seed.unsigned("a seed of 0 or more")?;
     Ok(Message::CreateInstance {
         name,
         seed,
--- a/crates/simulator-adapter/src/message/encoded.rs
+++ b/crates/simulator-adapter/src/message/encoded.rs
@@ -63,7 +63,7 @@
     /// The instance name is not a string.
     pub fn instance(&self) -> Result<InstanceReference<'a>, MessageError> {
         let field = self.field(INSTANCE);
-        let name = field.text("an instance")?;
+        let name = field.text("an instance name")?;
         Ok(InstanceReference { field, name })
     }
 
--- a/crates/simulator-adapter/src/message/field.rs
+++ b/crates/simulator-adapter/src/message/field.rs
@@ -66,7 +66,7 @@
 
     /// Returns the value as a request id, which is written as 16 lower-case hexadecimal digits.
     pub fn request_id(self) -> Result<u64, MessageError> {
-        let text = self.text("a request id of 16 hex digits")?;
+        let text = self.text("a request id as a string")?;
         parse_request_id(text)
             .ok_or_else(|| self.invalid("a request id of 16 lower-case hex digits"))
     }
--- a/crates/simulator-adapter/src/message/tests.rs
+++ b/crates/simulator-adapter/src/message/tests.rs
@@ -69,10 +69,10 @@
 #[test]
 fn a_wrong_number_of_values_names_the_message_and_both_numbers() {
     let too_short = json!(["VIEW", "proxy-3", 0]);
-    let expected = "VIEW: expected 4 values, got 2";
+    let expected = "VIEW: expected 4 values after the name, got 2";
     assert_eq!(format_error(&too_short), expected);
     let too_long = json!(["END", null]);
-    let expected = "END: expected 0 values, got 1";
+    let expected = "END: expected 0 values after the name, got 1";
     assert_eq!(format_error(&too_long), expected);
 }
 
@@ -87,7 +87,7 @@
 
         line.push(json!("one more value"));
         let expected = format!(
-            "{}: expected {} values, got {}",
+            "{}: expected {} values after the name, got {}",
             format.name,
             format.value_count,
             format.value_count + 1
@@ -100,8 +100,14 @@
 fn a_line_without_a_known_name_is_rejected() {
     let cases = [
         (json!({"TICK": 1}), "expected a JSON array"),
-        (json!([]), "expected a message name first"),
-        (json!([17, "TICK"]), "expected a message name first"),
+        (
+            json!([]),
+            "expected a message name as the first element of the array",
+        ),
+        (
+            json!([17, "TICK"]),
+            "expected a message name as the first element of the array",
+        ),
         (json!(["HELLO", 1]), "unknown message HELLO"),
     ];
     for (line, expected) in cases {
@@ -114,27 +120,27 @@
     let cases = [
         (
             json!(["TICK", -1]),
-            "TICK: value 0: expected the clock in microseconds, got -1",
+            "TICK: value 0: expected a time in microseconds, got -1",
         ),
         (
             json!(["SNAPSHOT_ROWS", 16, 0]),
-            "SNAPSHOT_ROWS: value 0: expected a roster number from 0 to 15, got 16",
+            "SNAPSHOT_ROWS: value 0: expected an endpoint list number from 0 to 15, got 16",
         ),
         (
             json!(["SNAPSHOT_ROWS", 1, {}]),
-            "SNAPSHOT_ROWS: value 1: expected an array of entries, got {}",
+            "SNAPSHOT_ROWS: value 1: expected an array of endpoint list rows, got {}",
         ),
         (
             json!(["CREATE", "proxy-x", "no seed", {}]),
-            "CREATE: value 0: expected an instance such as proxy-3, got \"proxy-x\"",
+            "CREATE: value 0: expected an instance name such as proxy-3, got \"proxy-x\"",
         ),
         (
             json!(["CREATE", "proxy-3", "no seed", {}]),
-            "CREATE: value 1: expected a seed, got \"no seed\"",
+            "CREATE: value 1: expected a seed of 0 or more, got \"no seed\"",
         ),
         (
             json!(["TIMEOUT_FIRED", 3, null]),
-            "TIMEOUT_FIRED: value 0: expected an instance, got 3",
+            "TIMEOUT_FIRED: value 0: expected an instance name, got 3",
         ),
     ];
     for (line, expected) in cases {
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -171,7 +171,9 @@
     let without_clock = run("[\"END\"]\n");
     assert!(!without_clock.success, "{}", without_clock.errors);
     assert!(
-        without_clock.errors.contains("TICK first"),
+        without_clock
+            .errors
+            .contains("TICK as the first message of a batch"),
         "{}",
         without_clock.errors
     );
@@ -206,7 +208,10 @@
     let unknown_state = r#"["SNAPSHOT_ROWS",1,[["east",0,"big","a:1","UP",1,null]]]"#;
     let short_row = r#"["SNAPSHOT_ROWS",1,[["east",0]]]"#;
     vec![
-        malformed(r#"["VIEW","proxy-3",9,1,"incr"]"#, "roster number"),
+        malformed(
+            r#"["VIEW","proxy-3",9,1,"incr"]"#,
+            "known endpoint list number",
+        ),
         malformed(r#"["VIEW","proxy-3",0,1,"odd"]"#, "incr, total"),
         malformed(r#"["VIEW","proxy-9",0,1,"incr"]"#, "known instance"),
         malformed(r#"["SNAPSHOT_ROWS",16,[]]"#, "0 to 15"),
@@ -286,7 +291,7 @@
     let short_event = r#"["JOB_IN","proxy-3"]"#;
     let rejected = run(&format!("[\"TICK\",1]\n{create}{short_event}\n"));
     assert!(!rejected.success);
-    let expected_error = "line 3: JOB_IN: expected 8 values, got 1";
+    let expected_error = "line 3: JOB_IN: expected 8 values after the name, got 1";
     assert!(
         rejected.errors.contains(expected_error),
         "{}",
@@ -295,7 +300,7 @@
 
     let without_clock = run(&format!("{event}\n"));
     assert!(!without_clock.success);
-    let expected_error = "line 1: JOB_IN: expected TICK first";
+    let expected_error = "line 1: JOB_IN: expected TICK as the first message of a batch";
     assert!(
         without_clock.errors.contains(expected_error),
         "{}",
