--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -65,7 +65,7 @@
 fn log_text(event: LogEvent, lists: &EndpointLists) -> Option<String> {
     match event {
         LogEvent::BackendEjected { backend, outcome } => {
-            let backend = backend_name(backend, lists);
+            let backend = describe_backend(backend, lists);
             Some(format!("backend {backend} ejected: {outcome:?}"))
         }
         LogEvent::WatchFailed => Some("discovery watch failed, polling again".into()),
@@ -76,7 +76,7 @@
 
 /// Returns the address of a backend, by which operators can look it up, or its id if no endpoint
 /// list has contained it.
-fn backend_name(backend: BackendId, lists: &EndpointLists) -> String {
+fn describe_backend(backend: BackendId, lists: &EndpointLists) -> String {
     match lists.address(backend) {
         Some(address) => address.into(),
         None => format!("with id {}", backend.0),
@@ -84,13 +84,13 @@
 }
 
 /// Writes the reply line that reports the invalid settings of an instance.
-pub fn write_fault(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
+pub fn write_invalid_settings(instance: &str, error: &InvalidSettings, reply: &mut Vec<u8>) {
     let text = format!("invalid settings: {error}");
     let _ = write_json(&json!(["BROKEN", instance, text]), reply);
 }
 
 /// Writes the last line of the reply to a batch.
-pub fn write_end(reply: &mut Vec<u8>) {
+pub fn write_end_of_reply(reply: &mut Vec<u8>) {
     reply.extend_from_slice(END_OF_REPLY);
 }
 
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -31,7 +31,7 @@
         for json in rows {
             let row = EndpointRow::decode(json)?;
             let endpoint = row.endpoint();
-            self.remember_address(endpoint.id, row.address, json)?;
+            self.record_address(endpoint.id, row.address, json)?;
             endpoints.push(endpoint);
         }
         self.lists.insert(number, endpoints);
@@ -50,7 +50,7 @@
 
     /// Records the address of a backend. Backend ids are hashes of addresses, so two addresses can
     /// have the same id. This is an error, because the balancer would treat them as one backend.
-    fn remember_address(
+    fn record_address(
         &mut self,
         backend: BackendId,
         address: &str,
--- a/crates/simulator-adapter/src/endpoint_lists/tests.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/tests.rs
@@ -5,7 +5,7 @@
 use brookstack_balancer::{BackendState, CellId, MachineTypeId, Time, ZoneId};
 use serde_json::json;
 
-const NUMBER: ListNumber = ListNumber(4);
+const LIST_NUMBER: ListNumber = ListNumber(4);
 
 const PLAIN_ADDRESS: &str =
     "a non-empty address of printable ASCII without spaces, double quotes or backslashes";
@@ -84,8 +84,8 @@
     let mut lists = EndpointLists::default();
     let first = [json!(["east", 0, "big", "a:1", "IN", 1, null])];
     let second = [json!(["west", 3, "small", "b:1", "OUT", 2, 5])];
-    lists.store(NUMBER, &first).unwrap();
-    lists.store(NUMBER, &second).unwrap();
+    lists.store(LIST_NUMBER, &first).unwrap();
+    lists.store(LIST_NUMBER, &second).unwrap();
     let expected = Endpoint {
         id: BackendId(stable_id("b:1")),
         zone: ZoneId(stable_id("west")),
@@ -95,7 +95,7 @@
         started_at: Some(Time(5)),
         weight: 2.0,
     };
-    assert_eq!(lists.get(NUMBER), Some([expected].as_slice()));
+    assert_eq!(lists.get(LIST_NUMBER), Some([expected].as_slice()));
     assert_eq!(lists.get(ListNumber(5)), None);
     assert_eq!(lists.address(BackendId(stable_id("a:1"))), Some("a:1"));
     assert_eq!(lists.address(BackendId(stable_id("c:1"))), None);
@@ -107,7 +107,7 @@
     let rows = [json!(["east", 0, "big", "a:1", "IN", 1, null])];
     let backend = BackendId(stable_id("a:1"));
     lists.addresses.insert(backend, "z:1".into());
-    let error = lists.store(NUMBER, &rows).unwrap_err();
+    let error = lists.store(LIST_NUMBER, &rows).unwrap_err();
     let row = &rows[0];
     let expected = format!("endpoint list row {row}: its address has the same backend id as z:1");
     assert_eq!(error.to_string(), expected);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -10,26 +10,26 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input could not be read.
-    #[error("could not read line {line} of standard input: {source}")]
+    #[error("could not read line {line_number} of standard input: {source}")]
     Read {
         /// The number of the line, from 1.
-        line: u64,
+        line_number: u64,
         /// Why the read failed.
         source: io::Error,
     },
     /// A line is not a valid message.
-    #[error("invalid message in line {line}: {source}")]
+    #[error("invalid message in line {line_number}: {source}")]
     Message {
         /// The number of the line, from 1.
-        line: u64,
+        line_number: u64,
         /// What is wrong with the line.
         source: MessageError,
     },
     /// Standard output could not be written.
-    #[error("could not write the reply to the batch that ended in line {line}: {source}")]
+    #[error("could not write the reply to the batch that ended in line {line_number}: {source}")]
     Write {
         /// The number of the line that completed the batch, from 1.
-        line: u64,
+        line_number: u64,
         /// Why the write failed.
         source: io::Error,
     },
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -81,7 +81,7 @@
     let flags = decode_flags(flags);
     let work_hint = decode_work_hint(work_hint, flags);
     let is_retry = flags & FLAG_RETRY != 0;
-    let request = decode_request(request)?;
+    let request = decode_request_id(request)?;
     let time_left = time_left.unsigned("the time left in microseconds")?;
     let tenant = decode_tenant(tenant, names)?;
     let class = decode_class(class, names)?;
@@ -131,8 +131,8 @@
 
 fn decode_stream_started(event: &EncodedEvent) -> Result<Event, MessageError> {
     let [_instance, request, attempt, _backend, _latency] = event.fields()?;
-    let request = decode_request(request)?;
-    let attempt = decode_attempt(attempt)?;
+    let request = decode_request_id(request)?;
+    let attempt = decode_attempt_number(attempt)?;
     Ok(Event::StreamStarted { request, attempt })
 }
 
@@ -142,8 +142,8 @@
     // The balancer identifies the backend by the request and the attempt, so only the type of this
     // value is checked.
     let _checked_backend = backend.text("a backend address")?;
-    let request = decode_request(request)?;
-    let attempt = decode_attempt(attempt)?;
+    let request = decode_request_id(request)?;
+    let attempt = decode_attempt_number(attempt)?;
     let outcome = decode_outcome(outcome)?;
     let latency = latency.unsigned("a latency in microseconds")?;
     let settled = settled.boolean("true or false")?;
@@ -173,7 +173,7 @@
 
 fn decode_client_disconnected(event: &EncodedEvent) -> Result<Event, MessageError> {
     let [_instance, request] = event.fields()?;
-    let request = decode_request(request)?;
+    let request = decode_request_id(request)?;
     Ok(Event::ClientDisconnected { request })
 }
 
@@ -185,12 +185,12 @@
     })
 }
 
-fn decode_request(field: Field) -> Result<RequestId, MessageError> {
+fn decode_request_id(field: Field) -> Result<RequestId, MessageError> {
     let id = field.request_id()?;
     Ok(RequestId(id))
 }
 
-fn decode_attempt(field: Field) -> Result<AttemptNumber, MessageError> {
+fn decode_attempt_number(field: Field) -> Result<AttemptNumber, MessageError> {
     let number = field.unsigned("an attempt number")?;
     Ok(AttemptNumber(number as u32))
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -72,7 +72,7 @@
             Message::SetClock { now } => self.now = Some(now),
             Message::EndBatch => {
                 self.now = None;
-                encode::write_end(reply);
+                encode::write_end_of_reply(reply);
                 return Ok(BatchState::Complete);
             }
             Message::StoreEndpointList { number, rows } => self.lists.store(number, rows)?,
@@ -114,7 +114,7 @@
                 eprintln!(
                     "{PROGRAM_NAME}: invalid settings for {name}, ignoring its events: {error}"
                 );
-                encode::write_fault(name, &error, reply);
+                encode::write_invalid_settings(name, &error, reply);
                 None
             }
         };
@@ -137,10 +137,10 @@
         reply: &mut Vec<u8>,
     ) -> Result<(), MessageError> {
         let name = reference.name();
-        let Some(slot) = self.instances.get_mut(name) else {
+        let Some(entry) = self.instances.get_mut(name) else {
             return Err(reference.unknown());
         };
-        let Some(instance) = slot else {
+        let Some(instance) = entry else {
             // The settings were invalid. The reply to `CREATE` has reported that.
             return Ok(());
         };
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -48,25 +48,33 @@
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Vec::new();
-    let mut text = String::new();
+    let mut line = String::new();
     // Line numbers start at 1.
-    let mut line = 0;
+    let mut line_number = 0;
     loop {
-        line += 1;
-        text.clear();
+        line_number += 1;
+        line.clear();
         let length = input
-            .read_line(&mut text)
-            .map_err(|source| AdapterError::Read { line, source })?;
+            .read_line(&mut line)
+            .map_err(|source| AdapterError::Read {
+                line_number,
+                source,
+            })?;
         let is_end_of_input = length == 0;
         if is_end_of_input {
             return Ok(());
         }
         let batch = host
-            .handle_line(text.trim_end(), &mut reply)
-            .map_err(|source| AdapterError::Message { line, source })?;
+            .handle_line(line.trim_end(), &mut reply)
+            .map_err(|source| AdapterError::Message {
+                line_number,
+                source,
+            })?;
         if batch == BatchState::Complete {
-            write_reply(&mut output, &reply)
-                .map_err(|source| AdapterError::Write { line, source })?;
+            write_reply(&mut output, &reply).map_err(|source| AdapterError::Write {
+                line_number,
+                source,
+            })?;
             reply.clear();
         }
     }
--- a/crates/simulator-adapter/src/message/encoded.rs
+++ b/crates/simulator-adapter/src/message/encoded.rs
@@ -7,7 +7,7 @@
 use std::array;
 
 /// Index of the instance name among the values of every message that refers to an instance.
-const INSTANCE: usize = 0;
+const INSTANCE_INDEX: usize = 0;
 
 /// A message whose values are not decoded yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +29,7 @@
         let Some((Value::String(name), values)) = items.split_first() else {
             return Err(MessageError::MissingName);
         };
-        let Some(format) = WireFormat::of_name(name) else {
+        let Some(format) = WireFormat::find_by_name(name) else {
             return Err(MessageError::UnknownName(name.clone()));
         };
         let message = EncodedMessage { format, values };
@@ -62,7 +62,7 @@
     /// # Errors
     /// The instance name is not a string.
     pub fn instance(&self) -> Result<InstanceReference<'a>, MessageError> {
-        let field = self.field(INSTANCE);
+        let field = self.field(INSTANCE_INDEX);
         let name = field.text("an instance name")?;
         Ok(InstanceReference { field, name })
     }
--- a/crates/simulator-adapter/src/message/kind.rs
+++ b/crates/simulator-adapter/src/message/kind.rs
@@ -86,7 +86,7 @@
 
 impl WireFormat {
     /// Returns the format of the messages with this name.
-    pub fn of_name(name: &str) -> Option<&'static WireFormat> {
+    pub fn find_by_name(name: &str) -> Option<&'static WireFormat> {
         WIRE_FORMATS.iter().find(|format| format.name == name)
     }
 }
--- a/crates/simulator-adapter/src/message/tests.rs
+++ b/crates/simulator-adapter/src/message/tests.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the error text for a message with an invalid name or number of values.
-fn format_error(line: &Value) -> String {
+fn wire_format_error(line: &Value) -> String {
     let error = EncodedMessage::from_json(line).unwrap_err();
     error.to_string()
 }
@@ -70,10 +70,10 @@
 fn a_wrong_number_of_values_names_the_message_and_both_numbers() {
     let too_short = json!(["VIEW", "proxy-3", 0]);
     let expected = "VIEW: expected 4 values after the name, got 2";
-    assert_eq!(format_error(&too_short), expected);
+    assert_eq!(wire_format_error(&too_short), expected);
     let too_long = json!(["END", null]);
     let expected = "END: expected 0 values after the name, got 1";
-    assert_eq!(format_error(&too_long), expected);
+    assert_eq!(wire_format_error(&too_long), expected);
 }
 
 #[test]
@@ -92,7 +92,7 @@
             format.value_count,
             format.value_count + 1
         );
-        assert_eq!(format_error(&json!(line)), expected);
+        assert_eq!(wire_format_error(&json!(line)), expected);
     }
 }
 
@@ -111,7 +111,7 @@
         (json!(["HELLO", 1]), "unknown message HELLO"),
     ];
     for (line, expected) in cases {
-        assert_eq!(format_error(&line), expected, "{line}");
+        assert_eq!(wire_format_error(&line), expected, "{line}");
     }
 }
 
