--- a/crates/simulator-adapter/src/encode/tests.rs
+++ b/crates/simulator-adapter/src/encode/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_log_line_tells_a_failed_watch_from_one_that_timed_out() {
+fn log_lines_distinguish_a_failed_watch_from_one_that_timed_out() {
     let failed = encoded(&Action::Log(LogEvent::WatchFailed));
     assert!(failed.contains("watch failed"), "{failed}");
     let timed_out = encoded(&Action::Log(LogEvent::WatchTimedOut));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn actions_on_a_request_name_it_by_16_hex_digits() {
+fn actions_identify_their_request_by_16_hex_digits() {
     let request = RequestId(0xab);
     let fail = Action::Fail { request };
     let expected = r#"["LOSE","proxy-3","00000000000000ab"]"#;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_limit_of_idle_connections_has_no_line() {
+fn a_limit_of_idle_connections_writes_no_reply_line() {
     let limit = Action::LimitIdleConnections { max_idle: 5 };
     assert_eq!(encoded(&limit), "");
 }
--- a/crates/simulator-adapter/src/endpoint_lists/tests.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/tests.rs
@@ -49,7 +49,7 @@
 /// Every row with 7 values is also invalid in all values that are checked later. The error must not
 /// report those.
 #[test]
-fn the_first_wrong_value_of_a_row_is_reported_in_the_order_of_the_checks() {
+fn only_the_first_invalid_value_of_a_row_is_reported() {
     let cases = [
         (json!({}), "an array of 7 values"),
         (json!(["east", 0]), "an array of 7 values"),
--- a/crates/simulator-adapter/src/event/tests.rs
+++ b/crates/simulator-adapter/src/event/tests.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_endpoint_update_carries_the_list_of_its_number() {
+fn an_endpoint_update_is_decoded_with_the_list_that_its_number_refers_to() {
     let lists = lists();
     let updates = [
         ("incr", EndpointUpdate::Delta),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_failed_watch_brings_no_list_and_its_number_is_not_checked() {
+fn a_failed_watch_is_decoded_without_a_list_and_its_list_number_is_not_checked() {
     let line = json!(["VIEW", "proxy-3", "no number", 4, "lost"]);
     let event = Event::EndpointsUpdated {
         update: EndpointUpdate::WatchFailed,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn messages_of_other_instances_and_health_checks_are_no_events_of_the_balancer() {
+fn messages_of_other_instances_and_health_checks_are_not_passed_to_the_balancer() {
     let peer_message = json!(["MEMO", "proxy-3", null, null]);
     assert_eq!(decode_line(&peer_message).unwrap(), None);
     let health_check = json!(["STATUS_BACK", "proxy-3", null, null, null, null]);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_wrong_value_of_an_update_or_timer_names_the_message_and_the_index() {
+fn the_error_for_an_invalid_value_of_an_update_or_timer_names_the_message_and_the_index() {
     assert_rejected(
         json!(["VIEW", "proxy-3", 9, 1, "odd"]),
         "VIEW: value 3: expected incr, total, warm_copy or lost, got \"odd\"",
@@ -171,7 +171,7 @@
 /// Every case except the last also has an invalid value that is checked later. The error must not
 /// report that one.
 #[test]
-fn the_first_wrong_value_of_an_arrival_is_reported_in_the_order_of_the_checks() {
+fn only_the_first_invalid_value_of_an_arrival_is_reported() {
     let id = "00000000000000ab";
     assert_rejected(
         json!([
@@ -209,7 +209,7 @@
 /// Every case except the last also has an invalid value that is checked later. The error must not
 /// report that one.
 #[test]
-fn the_first_wrong_value_of_an_attempt_end_is_reported_in_the_order_of_the_checks() {
+fn only_the_first_invalid_value_of_an_attempt_end_is_reported() {
     let id = "00000000000000ab";
     assert_rejected(
         json!(["RETURNED", "proxy-3", 1, -1, null, 8, -1, 1, null]),
--- a/crates/simulator-adapter/src/message/tests.rs
+++ b/crates/simulator-adapter/src/message/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_instance_of_a_message_is_decoded_without_its_other_values() {
+fn the_instance_of_a_message_is_decoded_without_checking_the_other_values() {
     let line = json!(["KILLED", "proxy-3"]);
     let Message::RemoveInstance { instance } = decode(&line).unwrap() else {
         panic!("not the removal of an instance");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_wrong_number_of_values_names_the_message_and_both_numbers() {
+fn the_error_for_a_wrong_number_of_values_names_the_message_and_both_numbers() {
     let too_short = json!(["VIEW", "proxy-3", 0]);
     let expected = "VIEW: expected 4 values after the name, got 2";
     assert_eq!(wire_format_error(&too_short), expected);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn every_message_has_the_number_of_values_of_its_wire_format() {
+fn the_number_of_values_of_every_message_is_checked_against_its_wire_format() {
     for format in &WIRE_FORMATS {
         let mut line = vec![json!(format.name)];
         line.resize(1 + format.value_count, json!("any value"));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_wrong_value_names_the_message_and_the_index() {
+fn the_error_for_an_invalid_value_names_the_message_and_the_index() {
     let cases = [
         (
             json!(["TICK", -1]),
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_removed_instance_is_unknown_until_it_is_created_again() {
+fn messages_for_a_removed_instance_are_rejected_until_it_is_created_again() {
     let create = create(SETTINGS);
     let remove = "[\"KILLED\",\"proxy-3\"]\n";
     let recreated = run(&format!(
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn invalid_settings_are_a_fault_of_that_instance_and_name_the_key() {
+fn invalid_settings_are_reported_for_their_instance_with_the_invalid_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "group_size"),
@@ -278,7 +278,7 @@
 
 /// The name and the number of values are still checked, and so is whether the clock is set.
 #[test]
-fn an_event_for_an_instance_with_invalid_settings_is_skipped_whatever_its_values_are() {
+fn an_event_for_an_instance_with_invalid_settings_is_skipped_without_checking_its_values() {
     let create = "[\"CREATE\",\"proxy-3\",99,{}]\n";
     let event = r#"["JOB_IN","proxy-3",null,null,null,null,null,null,null]"#;
     let skipped = run(&format!("[\"TICK\",1]\n{create}{event}\n[\"END\"]\n"));
