--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -13,8 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Bit in the flags of an arrival: the client has stated how much work the request is expected to
-/// be.
+/// Bit in the flags of an arrival: the client has stated the expected work of the request.
 const FLAG_WORK_HINT: u64 = 1;
 /// Bit in the flags of an arrival: the client has marked the request as a retry.
 const FLAG_RETRY: u64 = 2;
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -5,7 +5,7 @@
 //! 1. [`EncodedMessage::from_json`] checks the name and the number of values of every message.
 //! 2. [`Message::decode`] decodes the values of a message, except those of an event. It is called
 //!    only once the clock of the batch is set: until then, every message except `TICK` is rejected
-//!    without a look at its values.
+//!    before its values are decoded.
 //! 3. [`crate::event::decode`] decodes the values of an event if the instance has a balancer. An
 //!    event for an instance whose settings were invalid is skipped, even if its values are invalid.
 //!
