--- a/crates/simulator-adapter/src/endpoint_lists/row.rs
+++ b/crates/simulator-adapter/src/endpoint_lists/row.rs
@@ -1,4 +1,4 @@
-//! The rows of an endpoint list: each describes one backend.
+//! Decodes the rows of an endpoint list. Each row describes one backend.
 
 use crate::error::MessageError;
 use brookstack_balancer::settings::stable_id;
@@ -6,33 +6,36 @@
 use serde_json::Value;
 
 const EXPECTED_STATE: &str = "IN, LAME or OUT";
+const EXPECTED_PLAIN_ADDRESS: &str =
+    "a non-empty address of printable ASCII without spaces, double quotes or backslashes";
 
-/// A row of an endpoint list.
+/// A row of an endpoint list. On the wire, its columns are zone, cell, machine type, address,
+/// state, weight and start time.
 #[derive(Debug, PartialEq)]
 pub struct EndpointRow<'a> {
     /// The address of the backend, which is also its name. Replies contain it without JSON
-    /// escapes, so it holds no character that JSON escapes.
+    /// escaping, so it must not contain a character that JSON escapes.
     pub address: &'a str,
     /// The name of the backend's zone.
     pub zone: &'a str,
-    /// The cell: backends of one cell share a store of idempotency keys.
+    /// The backend's cell. Backends of one cell share a store of idempotency keys.
     pub cell: u64,
     /// The name of the backend's machine type.
     pub machine_type: &'a str,
     /// Whether the backend accepts requests.
     pub state: BackendState,
-    /// When the backend started, if that is known.
+    /// When the backend started, or `None` if that is unknown.
     pub started_at: Option<Time>,
-    /// The weight of the backend, which is 0 or more.
+    /// The weight of the backend, at least 0.
     pub weight: f64,
 }
 
 impl<'a> EndpointRow<'a> {
-    /// Decodes a row. An error names the first wrong value in the order of the checks here, which
-    /// is not the order of the columns.
+    /// Decodes a row. The values are not checked in the order of the columns; an error describes
+    /// the first value whose check failed.
     ///
     /// # Errors
-    /// The row is not an array of 7 values, or one of them is not what it should be.
+    /// The row is not an array of 7 values, or a value has the wrong type or is out of range.
     pub fn decode(row: &'a Value) -> Result<EndpointRow<'a>, MessageError> {
         let Some([zone, cell, machine_type, address, state, weight, started_at]) = columns(row)
         else {
@@ -42,9 +45,9 @@
         let address = column(address).address()?;
         let state = column(state).state()?;
         let started_at = column(started_at).start_time()?;
-        let zone = column(zone).text("a zone")?;
+        let zone = column(zone).text("a zone name")?;
         let cell = column(cell).cell()?;
-        let machine_type = column(machine_type).text("a kind")?;
+        let machine_type = column(machine_type).text("a machine type name")?;
         let weight = column(weight).weight()?;
         Ok(EndpointRow {
             address,
@@ -57,7 +60,7 @@
         })
     }
 
-    /// The endpoint as the balancer knows it: with ids in place of names.
+    /// Returns the balancer's endpoint for this row, in which ids replace the names.
     pub fn endpoint(&self) -> Endpoint {
         Endpoint {
             id: BackendId(stable_id(self.address)),
@@ -71,12 +74,12 @@
     }
 }
 
-/// The columns of a row; `None` if it is not an array.
+/// Returns the columns of a row, or `None` if the row is not an array.
 fn columns(row: &Value) -> Option<&[Value]> {
     row.as_array().map(Vec::as_slice)
 }
 
-/// One value of a row. Its methods check the value; the error names the whole row.
+/// A value of a row. The methods check the value; their errors report the complete row.
 struct Column<'a> {
     row: &'a Value,
     value: &'a Value,
@@ -90,9 +93,9 @@
     }
 
     fn address(&self) -> Result<&'a str, MessageError> {
-        let address = self.text("an address")?;
+        let address = self.text("an address as a string")?;
         if !is_plain_address(address) {
-            return Err(invalid_row(self.row, "a plain address"));
+            return Err(invalid_row(self.row, EXPECTED_PLAIN_ADDRESS));
         }
         Ok(address)
     }
@@ -106,7 +109,8 @@
         }
     }
 
-    /// A start time in microseconds. Both null and 0 stand for an unknown one.
+    /// Returns the start time, which is written in microseconds. Null and 0 both mean that it is
+    /// unknown.
     fn start_time(&self) -> Result<Option<Time>, MessageError> {
         if self.value.is_null() {
             return Ok(None);
@@ -114,7 +118,10 @@
         match self.value.as_u64() {
             Some(0) => Ok(None),
             Some(micros) => Ok(Some(Time(micros))),
-            None => Err(invalid_row(self.row, "a start time or null")),
+            None => Err(invalid_row(
+                self.row,
+                "a start time in microseconds or null",
+            )),
         }
     }
 
@@ -139,7 +146,7 @@
     }
 }
 
-/// Whether an address can stand in a JSON string without escapes.
+/// Returns whether an address is not empty and can be written in a JSON string without escaping.
 fn is_plain_address(address: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
     !address.is_empty() && address.bytes().all(is_plain)
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Decodes the messages that report an event to one instance.
+//! Decodes messages that report an event to an instance into events of its balancer.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::MessageError;
@@ -13,18 +13,19 @@
 #[cfg(test)]
 mod tests;
 
-/// Set in the flags of an arrival if the client states how much work the request is expected to be.
+/// Bit in the flags of an arrival: the client has stated the expected work of the request.
 const FLAG_WORK_HINT: u64 = 1;
-/// Set in the flags of an arrival if the client marks the request as a retry.
+/// Bit in the flags of an arrival: the client has marked the request as a retry.
 const FLAG_RETRY: u64 = 2;
 
 const EXPECTED_OUTCOME: &str = "an outcome code from 0 to 7";
+const EXPECTED_UPDATE: &str = "incr, total, warm_copy or lost";
 
-/// Decodes an event. The result is `None` for events that the balancer has no use for: it
-/// exchanges no messages with other instances and makes no health checks.
+/// Decodes an event. Returns `None` for messages from other instances and for results of health
+/// checks, because the balancer exchanges no messages and makes no health checks.
 ///
 /// # Errors
-/// A value is not what the message must have, or it names an unknown list, class or tenant.
+/// A value has the wrong type, is out of range, or refers to an unknown list, class or tenant.
 pub fn decode(
     event: &EncodedEvent,
     names: &Names,
@@ -49,7 +50,7 @@
     let [_instance, list_number, _version, update] = event.fields()?;
     let update = decode_update(update)?;
     let endpoints = if update == EndpointUpdate::WatchFailed {
-        // A failed watch brings no list, so the number is not read.
+        // A failed watch delivers no list, so the list number is not checked.
         Vec::new()
     } else {
         find_list(list_number, lists)?.to_vec()
@@ -58,19 +59,19 @@
 }
 
 fn find_list<'a>(field: Field, lists: &'a EndpointLists) -> Result<&'a [Endpoint], MessageError> {
-    let number = field.unsigned("a roster number")?;
+    let number = field.unsigned("an endpoint list number")?;
     lists
         .get(ListNumber(number))
-        .ok_or_else(|| field.invalid("a known roster number"))
+        .ok_or_else(|| field.invalid("a known endpoint list number"))
 }
 
 fn decode_update(field: Field) -> Result<EndpointUpdate, MessageError> {
-    match field.text("a list kind")? {
+    match field.text(EXPECTED_UPDATE)? {
         "incr" => Ok(EndpointUpdate::Delta),
         "total" => Ok(EndpointUpdate::Snapshot),
         "warm_copy" => Ok(EndpointUpdate::Cached),
         "lost" => Ok(EndpointUpdate::WatchFailed),
-        _ => Err(field.invalid("incr, total, warm_copy or lost")),
+        _ => Err(field.invalid(EXPECTED_UPDATE)),
     }
 }
 
@@ -79,7 +80,7 @@
     let flags = decode_flags(flags);
     let work_hint = decode_work_hint(work_hint, flags);
     let is_retry = flags & FLAG_RETRY != 0;
-    let request = decode_request(request)?;
+    let request = decode_request_id(request)?;
     let time_left = time_left.unsigned("the time left in microseconds")?;
     let tenant = decode_tenant(tenant, names)?;
     let class = decode_class(class, names)?;
@@ -93,13 +94,14 @@
     })
 }
 
-/// Decodes the flags of a request. Any value but a whole number of 0 or more stands for no flags.
+/// Decodes the flags of a request. A value that is not an unsigned integer means that no flag is
+/// set.
 fn decode_flags(field: Field) -> u64 {
     field.value().as_u64().unwrap_or(0)
 }
 
-/// Decodes the work hint of a request, in microseconds. It counts only if its flag is set, and any
-/// value but a whole number of 0 or more stands for a request without a work hint.
+/// Decodes the work hint of a request, in microseconds. The request has no work hint if
+/// [`FLAG_WORK_HINT`] is not set or the value is not an unsigned integer.
 fn decode_work_hint(field: Field, flags: u64) -> Option<Micros> {
     if flags & FLAG_WORK_HINT == 0 {
         return None;
@@ -107,7 +109,8 @@
     field.value().as_u64().map(Micros)
 }
 
-/// Decodes the tenant of a request. Any value but text stands for a request without a tenant.
+/// Decodes the tenant of a request. A value that is not a string means that the request has no
+/// tenant.
 fn decode_tenant(field: Field, names: &Names) -> Result<Option<TenantId>, MessageError> {
     let Value::String(name) = field.value() else {
         return Ok(None);
@@ -119,7 +122,7 @@
 }
 
 fn decode_class(field: Field, names: &Names) -> Result<ClassId, MessageError> {
-    let name = field.text("a class")?;
+    let name = field.text("a class name")?;
     names
         .class(name)
         .ok_or_else(|| field.invalid("a known class"))
@@ -127,20 +130,21 @@
 
 fn decode_stream_started(event: &EncodedEvent) -> Result<Event, MessageError> {
     let [_instance, request, attempt, _backend, _latency] = event.fields()?;
-    let request = decode_request(request)?;
-    let attempt = decode_attempt(attempt)?;
+    let request = decode_request_id(request)?;
+    let attempt = decode_attempt_number(attempt)?;
     Ok(Event::StreamStarted { request, attempt })
 }
 
 fn decode_attempt_end(event: &EncodedEvent) -> Result<AttemptEnd, MessageError> {
     let [_instance, request, attempt, backend, outcome, latency, settled, _load_report] =
         event.fields()?;
-    // The balancer knows the backend from the request and the attempt.
-    let _checked_backend = backend.text("a backend")?;
-    let request = decode_request(request)?;
-    let attempt = decode_attempt(attempt)?;
+    // The balancer identifies the backend by the request and the attempt, so only the type of this
+    // value is checked.
+    let _checked_backend = backend.text("a backend address")?;
+    let request = decode_request_id(request)?;
+    let attempt = decode_attempt_number(attempt)?;
     let outcome = decode_outcome(outcome)?;
-    let latency = latency.unsigned("a time in microseconds")?;
+    let latency = latency.unsigned("a latency in microseconds")?;
     let settled = settled.boolean("true or false")?;
     Ok(AttemptEnd {
         request,
@@ -168,24 +172,24 @@
 
 fn decode_client_disconnected(event: &EncodedEvent) -> Result<Event, MessageError> {
     let [_instance, request] = event.fields()?;
-    let request = decode_request(request)?;
+    let request = decode_request_id(request)?;
     Ok(Event::ClientDisconnected { request })
 }
 
 fn decode_timer_fired(event: &EncodedEvent) -> Result<Event, MessageError> {
     let [_instance, token] = event.fields()?;
-    let token = token.unsigned("a token")?;
+    let token = token.unsigned("a timer token")?;
     Ok(Event::Timer {
         token: TimerToken(token),
     })
 }
 
-fn decode_request(field: Field) -> Result<RequestId, MessageError> {
+fn decode_request_id(field: Field) -> Result<RequestId, MessageError> {
     let id = field.request_id()?;
     Ok(RequestId(id))
 }
 
-fn decode_attempt(field: Field) -> Result<AttemptNumber, MessageError> {
-    let number = field.unsigned("an attempt")?;
+fn decode_attempt_number(field: Field) -> Result<AttemptNumber, MessageError> {
+    let number = field.unsigned("an attempt number")?;
     Ok(AttemptNumber(number as u32))
 }
--- a/crates/simulator-adapter/src/event/tests.rs
+++ b/crates/simulator-adapter/src/event/tests.rs
@@ -1,4 +1,5 @@
-//! Decoding of events: valid ones, wrong values, and values that are not checked.
+//! Tests the decoding of valid events, the errors for invalid values, and which values are not
+//! checked.
 
 use super::*;
 use crate::message::{EncodedMessage, Message};
@@ -16,7 +17,7 @@
     names
 }
 
-/// Endpoint lists of which only the one with the number 0 exists.
+/// Endpoint lists that contain only a list with the number 0.
 fn lists() -> EndpointLists {
     let rows = [json!(["east", 0, "big", "10.0.0.1:80", "IN", 1, null])];
     let mut lists = EndpointLists::default();
@@ -55,14 +56,14 @@
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, "any key", "north", 3, "pay"]);
     assert_decoded(line, Event::Request(arrival.clone()));
 
-    // Flags of 0 declare no work hint. Anything but text stands for no tenant.
+    // Without its flag, the work hint is ignored. A tenant that is not a string means no tenant.
     arrival.work_hint = None;
     arrival.is_retry = false;
     arrival.tenant = None;
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, {}, 5, 0, "pay"]);
     assert_decoded(line, Event::Request(arrival.clone()));
 
-    // Flags and work hints of a wrong type stand for none.
+    // Flags of a wrong type mean no flags, and a work hint of a wrong type means no work hint.
     let line = json!(["JOB_IN", "proxy-3", id, 70, 900, {}, 5, "3", "pay"]);
     assert_decoded(line, Event::Request(arrival.clone()));
     let line = json!(["JOB_IN", "proxy-3", id, "70", 900, {}, 5, 1, "pay"]);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn an_endpoint_update_carries_the_list_of_its_number() {
+fn an_endpoint_update_is_decoded_with_the_list_that_its_number_refers_to() {
     let lists = lists();
     let updates = [
         ("incr", EndpointUpdate::Delta),
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_failed_watch_brings_no_list_and_its_number_is_not_checked() {
+fn a_failed_watch_is_decoded_without_a_list_and_its_list_number_is_not_checked() {
     let line = json!(["VIEW", "proxy-3", "no number", 4, "lost"]);
     let event = Event::EndpointsUpdated {
         update: EndpointUpdate::WatchFailed,
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn messages_of_other_instances_and_health_checks_are_no_events_of_the_balancer() {
+fn messages_of_other_instances_and_health_checks_are_not_passed_to_the_balancer() {
     let peer_message = json!(["MEMO", "proxy-3", null, null]);
     assert_eq!(decode_line(&peer_message).unwrap(), None);
     let health_check = json!(["STATUS_BACK", "proxy-3", null, null, null, null]);
@@ -148,28 +149,29 @@
 }
 
 #[test]
-fn a_wrong_value_of_an_update_or_timer_names_the_message_and_the_index() {
+fn the_error_for_an_invalid_value_of_an_update_or_timer_names_the_message_and_the_index() {
     assert_rejected(
         json!(["VIEW", "proxy-3", 9, 1, "odd"]),
         "VIEW: value 3: expected incr, total, warm_copy or lost, got \"odd\"",
     );
     assert_rejected(
         json!(["VIEW", "proxy-3", "0", 1, "incr"]),
-        "VIEW: value 1: expected a roster number, got \"0\"",
+        "VIEW: value 1: expected an endpoint list number, got \"0\"",
     );
     assert_rejected(
         json!(["VIEW", "proxy-3", 9, 1, "incr"]),
-        "VIEW: value 1: expected a known roster number, got 9",
+        "VIEW: value 1: expected a known endpoint list number, got 9",
     );
     assert_rejected(
         json!(["TIMEOUT_FIRED", "proxy-3", "7"]),
-        "TIMEOUT_FIRED: value 1: expected a token, got \"7\"",
+        "TIMEOUT_FIRED: value 1: expected a timer token, got \"7\"",
     );
 }
 
-/// Every case is also wrong in a value that is checked later, which the error must not name.
+/// Every case except the last also has an invalid value that is checked later. The error must not
+/// report that one.
 #[test]
-fn the_first_wrong_value_of_an_arrival_is_reported_in_the_order_of_the_checks() {
+fn only_the_first_invalid_value_of_an_arrival_is_reported() {
     let id = "00000000000000ab";
     assert_rejected(
         json!([
@@ -196,7 +198,7 @@
     );
     assert_rejected(
         json!(["JOB_IN", "proxy-3", id, null, 900, null, "north", 0, 1]),
-        "JOB_IN: value 7: expected a class, got 1",
+        "JOB_IN: value 7: expected a class name, got 1",
     );
     assert_rejected(
         json!(["JOB_IN", "proxy-3", id, null, 900, null, "north", 0, "none"]),
@@ -204,21 +206,22 @@
     );
 }
 
-/// Every case is also wrong in a value that is checked later, which the error must not name.
+/// Every case except the last also has an invalid value that is checked later. The error must not
+/// report that one.
 #[test]
-fn the_first_wrong_value_of_an_attempt_end_is_reported_in_the_order_of_the_checks() {
+fn only_the_first_invalid_value_of_an_attempt_end_is_reported() {
     let id = "00000000000000ab";
     assert_rejected(
         json!(["RETURNED", "proxy-3", 1, -1, null, 8, -1, 1, null]),
-        "RETURNED: value 3: expected a backend, got null",
+        "RETURNED: value 3: expected a backend address, got null",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", 1, -1, "b", 8, -1, 1, null]),
-        "RETURNED: value 1: expected a request id of 16 hex digits, got 1",
+        "RETURNED: value 1: expected a request id as a string, got 1",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, -1, "b", 8, -1, 1, null]),
-        "RETURNED: value 2: expected an attempt, got -1",
+        "RETURNED: value 2: expected an attempt number, got -1",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, 0, "b", 8, -1, 1, null]),
@@ -226,7 +229,7 @@
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, 0, "b", 7, -1, 1, null]),
-        "RETURNED: value 5: expected a time in microseconds, got -1",
+        "RETURNED: value 5: expected a latency in microseconds, got -1",
     );
     assert_rejected(
         json!(["RETURNED", "proxy-3", id, 0, "b", 7, 1, 1, null]),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,11 @@
-//! Hosts instances of the balancer for a simulator: JSON lines on standard input and output.
+//! Runs instances of the balancer for a simulator, which sends JSON lines to standard input and
+//! reads JSON lines from standard output.
 //!
 //! The program only translates between lines and the balancer's events and actions. Each simulated
-//! proxy has a [`brookstack_balancer::Balancer`] of its own, which makes all decisions.
+//! proxy is an instance with its own [`brookstack_balancer::Balancer`], which makes all decisions.
+//!
+//! The simulator sends its messages in batches. `TICK` starts a batch and sets its clock, `END`
+//! ends it. The program then writes the reply to the whole batch, which ends with `YIELD`.
 //!
 //! Modules:
 //!
@@ -24,7 +28,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The name that starts every line on standard error.
+/// Prefix of every line on standard error.
 const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
 
 fn main() -> ExitCode {
@@ -39,30 +43,38 @@
     }
 }
 
-/// Handles the lines of the input until it ends. The reply to a batch is written when the batch is
-/// complete.
+/// Handles each line of the input until its end, and writes the reply to each batch as soon as the
+/// batch is complete.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Vec::new();
-    let mut text = String::new();
-    // The number of the line, from 1.
-    let mut line = 0;
+    let mut line = String::new();
+    // Line numbers start at 1.
+    let mut line_number = 0;
     loop {
-        line += 1;
-        text.clear();
+        line_number += 1;
+        line.clear();
         let length = input
-            .read_line(&mut text)
-            .map_err(|source| AdapterError::Read { line, source })?;
+            .read_line(&mut line)
+            .map_err(|source| AdapterError::Read {
+                line_number,
+                source,
+            })?;
         let is_end_of_input = length == 0;
         if is_end_of_input {
             return Ok(());
         }
         let batch = host
-            .handle_line(text.trim_end(), &mut reply)
-            .map_err(|source| AdapterError::Message { line, source })?;
+            .handle_line(line.trim_end(), &mut reply)
+            .map_err(|source| AdapterError::Message {
+                line_number,
+                source,
+            })?;
         if batch == BatchState::Complete {
-            write_reply(&mut output, &reply)
-                .map_err(|source| AdapterError::Write { line, source })?;
+            write_reply(&mut output, &reply).map_err(|source| AdapterError::Write {
+                line_number,
+                source,
+            })?;
             reply.clear();
         }
     }
--- a/crates/simulator-adapter/src/message/tests.rs
+++ b/crates/simulator-adapter/src/message/tests.rs
@@ -1,23 +1,24 @@
-//! Decoding of messages: valid ones, wrong numbers of values and wrong values.
+//! Tests the decoding of valid messages and the errors for invalid names, numbers of values and
+//! values.
 
 use super::kind::WIRE_FORMATS;
 use super::*;
 use crate::error::MessageError;
 use serde_json::json;
 
-/// Decodes a message that must have a valid name and number of values.
+/// Decodes a message, whose name and number of values must be valid.
 fn decode(line: &Value) -> Result<Message<'_>, MessageError> {
     let message = EncodedMessage::from_json(line).unwrap();
     Message::decode(&message)
 }
 
-/// The error that the name or the number of values is wrong.
-fn format_error(line: &Value) -> String {
+/// Returns the error text for a message with an invalid name or number of values.
+fn wire_format_error(line: &Value) -> String {
     let error = EncodedMessage::from_json(line).unwrap_err();
     error.to_string()
 }
 
-/// The error that a value is wrong.
+/// Returns the error text for a message with an invalid value.
 fn value_error(line: &Value) -> String {
     decode(line).unwrap_err().to_string()
 }
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn the_instance_of_a_message_is_decoded_without_its_other_values() {
+fn the_instance_of_a_message_is_decoded_without_checking_the_other_values() {
     let line = json!(["KILLED", "proxy-3"]);
     let Message::RemoveInstance { instance } = decode(&line).unwrap() else {
         panic!("not the removal of an instance");
@@ -66,17 +67,17 @@
 }
 
 #[test]
-fn a_wrong_number_of_values_names_the_message_and_both_numbers() {
+fn the_error_for_a_wrong_number_of_values_names_the_message_and_both_numbers() {
     let too_short = json!(["VIEW", "proxy-3", 0]);
-    let expected = "VIEW: expected 4 values, got 2";
-    assert_eq!(format_error(&too_short), expected);
+    let expected = "VIEW: expected 4 values after the name, got 2";
+    assert_eq!(wire_format_error(&too_short), expected);
     let too_long = json!(["END", null]);
-    let expected = "END: expected 0 values, got 1";
-    assert_eq!(format_error(&too_long), expected);
+    let expected = "END: expected 0 values after the name, got 1";
+    assert_eq!(wire_format_error(&too_long), expected);
 }
 
 #[test]
-fn every_message_has_the_number_of_values_of_its_wire_format() {
+fn the_number_of_values_of_every_message_is_checked_against_its_wire_format() {
     for format in &WIRE_FORMATS {
         let mut line = vec![json!(format.name)];
         line.resize(1 + format.value_count, json!("any value"));
@@ -86,12 +87,12 @@
 
         line.push(json!("one more value"));
         let expected = format!(
-            "{}: expected {} values, got {}",
+            "{}: expected {} values after the name, got {}",
             format.name,
             format.value_count,
             format.value_count + 1
         );
-        assert_eq!(format_error(&json!(line)), expected);
+        assert_eq!(wire_format_error(&json!(line)), expected);
     }
 }
 
@@ -99,41 +100,47 @@
 fn a_line_without_a_known_name_is_rejected() {
     let cases = [
         (json!({"TICK": 1}), "expected a JSON array"),
-        (json!([]), "expected a message name first"),
-        (json!([17, "TICK"]), "expected a message name first"),
+        (
+            json!([]),
+            "expected a message name as the first element of the array",
+        ),
+        (
+            json!([17, "TICK"]),
+            "expected a message name as the first element of the array",
+        ),
         (json!(["HELLO", 1]), "unknown message HELLO"),
     ];
     for (line, expected) in cases {
-        assert_eq!(format_error(&line), expected, "{line}");
+        assert_eq!(wire_format_error(&line), expected, "{line}");
     }
 }
 
 #[test]
-fn a_wrong_value_names_the_message_and_the_index() {
+fn the_error_for_an_invalid_value_names_the_message_and_the_index() {
     let cases = [
         (
             json!(["TICK", -1]),
-            "TICK: value 0: expected the clock in microseconds, got -1",
+            "TICK: value 0: expected a time in microseconds, got -1",
         ),
         (
             json!(["SNAPSHOT_ROWS", 16, 0]),
-            "SNAPSHOT_ROWS: value 0: expected a roster number from 0 to 15, got 16",
+            "SNAPSHOT_ROWS: value 0: expected an endpoint list number from 0 to 15, got 16",
         ),
         (
             json!(["SNAPSHOT_ROWS", 1, {}]),
-            "SNAPSHOT_ROWS: value 1: expected an array of entries, got {}",
+            "SNAPSHOT_ROWS: value 1: expected an array of endpoint list rows, got {}",
         ),
         (
             json!(["CREATE", "proxy-x", "no seed", {}]),
-            "CREATE: value 0: expected an instance such as proxy-3, got \"proxy-x\"",
+            "CREATE: value 0: expected an instance name such as proxy-3, got \"proxy-x\"",
         ),
         (
             json!(["CREATE", "proxy-3", "no seed", {}]),
-            "CREATE: value 1: expected a seed, got \"no seed\"",
+            "CREATE: value 1: expected a seed of 0 or more, got \"no seed\"",
         ),
         (
             json!(["TIMEOUT_FIRED", 3, null]),
-            "TIMEOUT_FIRED: value 0: expected an instance, got 3",
+            "TIMEOUT_FIRED: value 0: expected an instance name, got 3",
         ),
     ];
     for (line, expected) in cases {
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,13 +1,14 @@
-//! The built adapter on batches of the simulator's messages: what it replies, and which lines it
-//! rejects.
+//! Runs the compiled adapter on batches of simulator messages, and checks its replies and the
+//! errors for lines that it rejects.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// Settings of an instance. `create` removes the line breaks, because a message is one line.
+/// Valid settings of an instance. [`create`] removes the line breaks, because a message is a single
+/// line.
 const SETTINGS: &str = include_str!("settings.json");
 
-/// Creates the instance `proxy-3`.
+/// Returns the message that creates the instance `proxy-3`.
 fn create(settings: &str) -> String {
     format!(
         "[\"CREATE\",\"proxy-3\",99,{}]\n",
@@ -15,12 +16,12 @@
     )
 }
 
-/// Stores a list of one ready endpoint, and notifies the instance of it.
+/// The messages that store a list of one ready endpoint and notify the instance of it.
 const ENDPOINT_LIST: &str = r#"["SNAPSHOT_ROWS",0,[["east",0,"big","10.0.0.1:80","IN",1,null]]]
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// What the adapter wrote and how it ended.
+/// The output of the adapter and whether it exited successfully.
 struct Run {
     output: String,
     errors: String,
@@ -36,7 +37,7 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    // The write fails if the adapter has rejected an early line and has exited.
+    // The write fails if the adapter has already rejected a line and exited.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let finished = child.wait_with_output().unwrap();
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_removed_instance_is_unknown_until_it_is_created_again() {
+fn messages_for_a_removed_instance_are_rejected_until_it_is_created_again() {
     let create = create(SETTINGS);
     let remove = "[\"KILLED\",\"proxy-3\"]\n";
     let recreated = run(&format!(
@@ -144,7 +145,7 @@
     );
 }
 
-/// The error names the number of the line and what was expected.
+/// The error reports the line number and what was expected.
 #[test]
 fn malformed_lines_are_reported_and_end_the_process() {
     let create = create(SETTINGS);
@@ -170,13 +171,15 @@
     let without_clock = run("[\"END\"]\n");
     assert!(!without_clock.success, "{}", without_clock.errors);
     assert!(
-        without_clock.errors.contains("TICK first"),
+        without_clock
+            .errors
+            .contains("TICK as the first message of a batch"),
         "{}",
         without_clock.errors
     );
 }
 
-/// A line that the adapter rejects, and a part of the error that it reports.
+/// A line that the adapter must reject, and a part of the expected error text.
 struct MalformedLine {
     line: String,
     expected_error: &'static str,
@@ -205,7 +208,10 @@
     let unknown_state = r#"["SNAPSHOT_ROWS",1,[["east",0,"big","a:1","UP",1,null]]]"#;
     let short_row = r#"["SNAPSHOT_ROWS",1,[["east",0]]]"#;
     vec![
-        malformed(r#"["VIEW","proxy-3",9,1,"incr"]"#, "roster number"),
+        malformed(
+            r#"["VIEW","proxy-3",9,1,"incr"]"#,
+            "known endpoint list number",
+        ),
         malformed(r#"["VIEW","proxy-3",0,1,"odd"]"#, "incr, total"),
         malformed(r#"["VIEW","proxy-9",0,1,"incr"]"#, "known instance"),
         malformed(r#"["SNAPSHOT_ROWS",16,[]]"#, "0 to 15"),
@@ -235,7 +241,7 @@
 }
 
 #[test]
-fn invalid_settings_are_a_fault_of_that_instance_and_name_the_key() {
+fn invalid_settings_are_reported_for_their_instance_with_the_invalid_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "group_size"),
@@ -270,9 +276,9 @@
     }
 }
 
-/// The name and the number of values are checked all the same, and so is whether the clock is set.
+/// The name and the number of values are still checked, and so is whether the clock is set.
 #[test]
-fn an_event_for_an_instance_with_invalid_settings_is_skipped_whatever_its_values_are() {
+fn an_event_for_an_instance_with_invalid_settings_is_skipped_without_checking_its_values() {
     let create = "[\"CREATE\",\"proxy-3\",99,{}]\n";
     let event = r#"["JOB_IN","proxy-3",null,null,null,null,null,null,null]"#;
     let skipped = run(&format!("[\"TICK\",1]\n{create}{event}\n[\"END\"]\n"));
@@ -285,7 +291,7 @@
     let short_event = r#"["JOB_IN","proxy-3"]"#;
     let rejected = run(&format!("[\"TICK\",1]\n{create}{short_event}\n"));
     assert!(!rejected.success);
-    let expected_error = "line 3: JOB_IN: expected 8 values, got 1";
+    let expected_error = "line 3: JOB_IN: expected 8 values after the name, got 1";
     assert!(
         rejected.errors.contains(expected_error),
         "{}",
@@ -294,7 +300,7 @@
 
     let without_clock = run(&format!("{event}\n"));
     assert!(!without_clock.success);
-    let expected_error = "line 1: JOB_IN: expected TICK first";
+    let expected_error = "line 1: JOB_IN: expected TICK as the first message of a batch";
     assert!(
         without_clock.errors.contains(expected_error),
         "{}",
