--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,11 +1,14 @@
 //! The client side of the proxy: accepts connections, reads requests and writes their responses.
 //!
-//! - `listener` accepts connections until the shutdown, `shutdown` drains them;
+//! - `listener` accepts connections until a graceful shutdown ends this;
+//! - `shutdown` drains the accept queue and closes the open connections;
 //! - `connection_table` holds the open connections and limits their number;
-//! - `client_connection` is the state of one connection, `connection_task` serves it;
-//! - `client_socket` is its socket, which notices a disconnect even behind unread bytes;
-//! - `request_handler` takes a request from its head to its final response, with
-//!   `request_validation` and `body_memory`.
+//! - `client_connection` holds the state of one connection;
+//! - `connection_task` serves one connection;
+//! - `client_socket` wraps the socket and detects a disconnect even if unread bytes precede it;
+//! - `request_handler` handles a request from its head to its final response;
+//! - `request_validation` checks the head of a request and extracts its metadata;
+//! - `body_memory` limits the memory that request bodies use.
 
 mod body_memory;
 mod client_connection;
@@ -41,21 +44,22 @@
 
 /// The part of the configuration that concerns clients.
 pub struct ServerConfig {
-    /// The names of classes and tenants.
+    /// Maps the configured names of classes and tenants to their identifiers.
     pub names: Names,
-    /// The classes, by `ClassId`.
+    /// The classes, indexed by `ClassId`.
     pub classes: Vec<Class>,
-    /// The longest time that a client may wait for a response; a longer one is reduced to it.
+    /// The longest time that a client may wait for a response. A longer `X-Time-Left-Ms` is reduced
+    /// to it.
     pub max_time_left: Micros,
     /// The tick of the balancer.
     pub tick: Micros,
-    /// The client connections that may be open at a time.
+    /// The maximum number of open client connections.
     pub max_connections: usize,
-    /// The memory that the bodies of all open requests may hold together, in bytes.
+    /// The maximum total size of the bodies of all open requests, in bytes.
     pub max_body_memory: usize,
 }
 
-/// Serves clients; the tasks of all connections share it.
+/// Serves clients. The tasks of all client connections share one server.
 pub struct Server {
     clock: Clock,
     rules: RequestRules,
@@ -63,16 +67,17 @@
     body_memory: BodyMemory,
     driver_events: mpsc::UnboundedSender<DriverEvent>,
     status: Rc<Status>,
+    /// The identifier that was last given to a connection or a request.
     last_id: Cell<u64>,
-    /// The shutdown that SIGTERM has begun.
+    /// Set when SIGTERM or SIGINT has begun a graceful shutdown.
     shutdown: Cell<Option<Shutdown>>,
     connections: ConnectionTable,
-    /// The clients' own identifiers of the requests that are open.
+    /// The correlation identifiers of the open requests.
     open_correlation_ids: RefCell<HashSet<HeaderValue>>,
 }
 
 impl Server {
-    /// Creates a server that hands its requests to the driver at the other end of `driver_events`.
+    /// Creates a server that sends its requests to the driver through `driver_events`.
     pub fn new(
         config: ServerConfig,
         clock: Clock,
@@ -97,8 +102,8 @@
         }
     }
 
-    /// Serves clients until the shutdown signal. Returns when all requests that were received have
-    /// been answered.
+    /// Serves clients until the shutdown signal, then drains. Returns when all client connections
+    /// are closed, or when the deadline of the drain has passed.
     pub async fn run(
         self: Rc<Self>,
         listener: TcpListener,
@@ -111,7 +116,7 @@
         self.drain(listener, &mut overdue_check).await;
     }
 
-    /// An identifier that no connection and no request of this server has yet.
+    /// Returns an identifier that no connection and no request of this server has had.
     fn next_id(&self) -> u64 {
         self.last_id.set(self.last_id.get() + 1);
         self.last_id.get()
--- a/crates/proxy/src/server/body_memory.rs
+++ b/crates/proxy/src/server/body_memory.rs
@@ -1,21 +1,23 @@
-//! The limit on the memory that the bodies of all open requests hold together.
+//! Limits the total memory that the bodies of all open requests use.
 
 use std::cell::Cell;
 
-/// A budget of bytes. Without it many large bodies at once would use up the memory of the process.
+/// A budget of bytes. Without it, many large bodies at the same time would exhaust the memory of
+/// the process.
 pub(super) struct BodyMemory {
     available_bytes: Cell<usize>,
 }
 
 impl BodyMemory {
-    /// A budget of which nothing is reserved.
+    /// Creates a budget with no reservations.
     pub(super) fn new(capacity_bytes: usize) -> BodyMemory {
         BodyMemory {
             available_bytes: Cell::new(capacity_bytes),
         }
     }
 
-    /// Reserves memory for a body until the permit is dropped; `None` if not enough is left.
+    /// Reserves memory for a body until the permit is dropped. Returns `None` if the remaining
+    /// budget is too small.
     pub(super) fn reserve(&self, bytes: usize) -> Option<BodyPermit<'_>> {
         let remaining = self.available_bytes.get().checked_sub(bytes)?;
         self.available_bytes.set(remaining);
@@ -26,7 +28,7 @@
     }
 }
 
-/// Holds the memory that is reserved for one body and releases it when dropped.
+/// The memory that is reserved for one body. Dropping the permit releases it.
 pub(super) struct BodyPermit<'a> {
     bytes: usize,
     memory: &'a BodyMemory,
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection: its phase, its timeouts, and whether it was asked to close.
+//! The state of one client connection: its phase, its timeouts and pending requests to close it.
 
 use super::client_socket::{ClientPresence, ClientSocket};
 use brookstack_balancer::{Micros, Time};
@@ -7,49 +7,50 @@
 use std::task::Poll;
 use tokio::sync::Notify;
 
-/// The time from the connect to the complete head of the first request. Without a limit, clients
-/// that never send a complete head would hold connections that others need.
+/// The time limit from accepting a connection to the complete head of its first request. Without
+/// it, clients that never send a complete head would hold connections that others need.
 const FIRST_HEAD_TIMEOUT: Micros = Micros(2_200_000);
-/// The time from the head of a request to the end of its body. The first request of a connection
-/// has only what is left of [`FIRST_HEAD_TIMEOUT`], if that is less.
+/// The time limit from the head of a request to the end of its body. For the first request of a
+/// connection, the rest of [`FIRST_HEAD_TIMEOUT`] applies if it is shorter.
 const BODY_TIMEOUT: Micros = Micros(2_000_000);
-/// The time for which a connection is kept open between two requests. Many clients keep connections
-/// and never use them again.
+/// The time for which a connection is kept open between two requests. The limit exists because many
+/// clients keep connections open and never use them again.
 const KEEP_ALIVE_TIMEOUT: Micros = Micros(5_000_000);
-/// The age from which a connection without a request may be evicted. By then a request has arrived
-/// that the client sent right after the connect.
+/// The minimum age at which a connection that has not served a request may be evicted. This leaves
+/// enough time for a request that the client sends right after connecting to arrive.
 const MIN_EVICTION_AGE: Micros = Micros(20_000);
-/// The time from asking a connection to close until it is closed by force, in case its client does
-/// not read.
+/// The time after which a connection that was asked to close may be asked again, which aborts it if
+/// it is still writing its last response. Without it, a client that does not read would keep its
+/// connection.
 const GRACEFUL_CLOSE_TIMEOUT: Micros = Micros(2_000_000);
 
 /// What a connection is waiting for.
 #[derive(Clone, Copy)]
 pub(super) enum ConnectionPhase {
-    /// The head of the next request, since the given time.
+    /// Waiting for the complete head of the next request since the given time.
     AwaitingHead { since: Time },
-    /// The body of a request whose head has arrived.
+    /// Waiting for the body of a request whose head has arrived.
     ReadingBody,
-    /// The response to a complete request.
+    /// Waiting for the response to a complete request.
     AwaitingResponse,
 }
 
-/// A client connection.
+/// The state of a client connection, shared by its task and the connection table.
 pub(super) struct ClientConnection {
     opened_at: Time,
     presence: ClientPresence,
     phase: Cell<ConnectionPhase>,
-    /// Whether a request was answered on it.
+    /// Whether a response to any request on this connection was produced.
     has_served_request: Cell<bool>,
-    /// Whether the latest request on it was rejected as invalid.
+    /// Whether the latest request on this connection was rejected as invalid.
     last_request_rejected: Cell<bool>,
-    /// When it was last asked to close.
+    /// When the connection was last asked to close.
     close_requested_at: Cell<Option<Time>>,
     close_requested: Notify,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     pub(super) fn new(now: Time, presence: ClientPresence) -> ClientConnection {
         ClientConnection {
             opened_at: now,
@@ -62,44 +63,46 @@
         }
     }
 
-    /// What it is waiting for.
+    /// What the connection is waiting for.
     pub(super) fn phase(&self) -> ConnectionPhase {
         self.phase.get()
     }
 
-    /// Whether a request was answered on it.
+    /// Whether a response to any request on this connection was produced.
     pub(super) fn has_served_request(&self) -> bool {
         self.has_served_request.get()
     }
 
-    /// Whether the latest request on it was rejected as invalid.
+    /// Whether the latest request on this connection was rejected as invalid.
     pub(super) fn last_request_rejected(&self) -> bool {
         self.last_request_rejected.get()
     }
 
-    /// A handle that tells whether the client has disconnected.
+    /// Returns a handle for checking whether the client has disconnected.
     pub(super) fn presence(&self) -> ClientPresence {
         self.presence.clone()
     }
 
-    /// Notes that the head of a request has arrived.
+    /// Records that the head of a request has arrived.
     pub(super) fn start_reading_body(&self) {
         self.phase.set(ConnectionPhase::ReadingBody);
     }
 
-    /// Notes that a request is complete.
+    /// Records that a request was received completely.
     pub(super) fn start_awaiting_response(&self) {
         self.phase.set(ConnectionPhase::AwaitingResponse);
     }
 
-    /// Notes that the response to a request is ready to be written.
+    /// Records that the response to a request is ready to be written. `rejected` tells whether the
+    /// request was rejected as invalid.
     pub(super) fn finish_request(&self, now: Time, rejected: bool) {
         self.phase.set(ConnectionPhase::AwaitingHead { since: now });
         self.has_served_request.set(true);
         self.last_request_rejected.set(rejected);
     }
 
-    /// Asks the connection to close, unless that was done less than [`GRACEFUL_CLOSE_TIMEOUT`] ago.
+    /// Asks the connection to close, unless it was already asked less than
+    /// [`GRACEFUL_CLOSE_TIMEOUT`] ago.
     pub(super) fn request_close(&self, now: Time) {
         let requested_at = self.close_requested_at.get();
         if requested_at.is_none_or(|at| now - at >= GRACEFUL_CLOSE_TIMEOUT) {
@@ -108,7 +111,8 @@
         }
     }
 
-    /// Forgets that the connection was asked to close, so that it can be asked again at once.
+    /// Clears the recorded request to close, so that the connection can be asked again without
+    /// waiting for [`GRACEFUL_CLOSE_TIMEOUT`].
     pub(super) fn clear_close_request(&self) {
         self.close_requested_at.set(None);
     }
@@ -118,7 +122,7 @@
         self.close_requested.notified().await;
     }
 
-    /// Completes when the client disconnects while it is owed a response.
+    /// Completes when the client disconnects while it waits for a response.
     pub(super) async fn disconnected_awaiting_response(&self, socket: &ClientSocket) {
         poll_fn(|cx| match self.phase.get() {
             ConnectionPhase::AwaitingResponse => socket.poll_disconnected(cx),
@@ -127,12 +131,14 @@
         .await;
     }
 
-    /// Whether it waits for the head of its first or its next request.
+    /// Whether the connection waits for the head of its first or next request.
     pub(super) fn is_awaiting_head(&self) -> bool {
         matches!(self.phase.get(), ConnectionPhase::AwaitingHead { .. })
     }
 
-    /// The time since which it has waited for a request that may never be completed.
+    /// The time since which the connection has waited for a complete request, or `None` if it has
+    /// received one and waits for the response. A connection that is reading a body counts as
+    /// waiting since it was accepted, because that request may never be completed.
     pub(super) fn awaiting_request_since(&self) -> Option<Time> {
         match self.phase.get() {
             ConnectionPhase::AwaitingHead { since } => Some(since),
@@ -141,13 +147,13 @@
         }
     }
 
-    /// Whether it may be evicted in favour of a new connection, if it waits for a request.
+    /// Whether a connection that waits for a request may be evicted in favour of a new connection.
     pub(super) fn may_be_evicted(&self, now: Time) -> bool {
         let has_settled = self.has_served_request.get() || now - self.opened_at >= MIN_EVICTION_AGE;
         has_settled && self.close_requested_at.get().is_none()
     }
 
-    /// Whether the head of its next request is overdue.
+    /// Whether the connection has waited for the head of a request beyond the timeout.
     pub(super) fn is_overdue(&self, now: Time) -> bool {
         let ConnectionPhase::AwaitingHead { since } = self.phase.get() else {
             return false;
@@ -160,7 +166,7 @@
         now - since >= timeout
     }
 
-    /// The time by which a request whose head has arrived at `now` must have its complete body.
+    /// The time by which the body of a request whose head arrived at `now` must be complete.
     pub(super) fn body_deadline(&self, now: Time) -> Time {
         let deadline = now + BODY_TIMEOUT;
         if self.has_served_request.get() {
--- a/crates/proxy/src/server/client_socket.rs
+++ b/crates/proxy/src/server/client_socket.rs
@@ -1,7 +1,8 @@
-//! A client's socket that notices a disconnect behind bytes that have not been read yet.
+//! A client's socket that detects a disconnect even if unread bytes precede it.
 //!
-//! hyper looks for the end of a connection only while it holds no unread bytes of it. A client that
-//! sends more than one request and then disconnects would therefore seem to wait for its response.
+//! hyper checks for the end of a connection only while its read buffer is empty. If a client sent
+//! more than one request and then disconnected, hyper alone would not notice the disconnect and the
+//! proxy would go on processing the first request.
 
 use bytes::{Buf, BytesMut};
 use socket2::SockRef;
@@ -14,28 +15,28 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The most bytes that are read ahead while a request is being served. A client that sends more
-/// does not wait for its responses. The excess is discarded, and the connection ends with the
-/// response to the current request.
+/// The maximum number of bytes that are read ahead while a request is being served. A client that
+/// sends more does not wait for its responses. The excess is discarded, and the connection is
+/// closed after the response to the current request.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// The most bytes that a single read takes from the socket while it looks for the disconnect. The
-/// buffer is on the stack.
+/// The size of the buffer for a single read while checking for a disconnect. The buffer is on the
+/// stack.
 const READ_CHUNK_BYTES: usize = 4 << 10;
 
 /// The state that a [`ClientSocket`] and its [`ClientPresence`] share.
 struct SharedSocket {
     stream: TcpStream,
-    /// Bytes that were read while looking for the disconnect, to be returned by the next reads.
+    /// Bytes that were read while checking for a disconnect. The next reads return them first.
     read_ahead: BytesMut,
-    /// Whether bytes were discarded, so that what follows cannot be parsed as requests.
+    /// Whether bytes were discarded. Later bytes can then no longer be parsed as requests.
     has_discarded_bytes: bool,
     /// Whether the client has closed the connection or reset it.
     is_disconnected: bool,
 }
 
 impl SharedSocket {
-    /// Stores the bytes of a read for later, up to the limit. An empty or a failed read is a
-    /// disconnect.
+    /// Stores the bytes of a read for later, up to [`MAX_READ_AHEAD_BYTES`]. An empty or failed
+    /// read means that the client has disconnected.
     fn store_read_ahead(&mut self, read: io::Result<&[u8]>) {
         let chunk = read.unwrap_or_default();
         self.is_disconnected |= chunk.is_empty();
@@ -51,8 +52,8 @@
     }
 }
 
-/// The socket of a client. Clones are handles to the same socket, one to read and write it and one
-/// to watch it for the disconnect; all of them belong to one task.
+/// The socket of a client. Clones are handles to the same socket: one reads and writes, another
+/// checks for a disconnect. All of them are used by the task of the connection.
 #[derive(Clone)]
 pub struct ClientSocket(Rc<RefCell<SharedSocket>>);
 
@@ -68,7 +69,8 @@
         ClientSocket(Rc::new(RefCell::new(shared)))
     }
 
-    /// Ready once the client has closed the connection or reset it, even behind unread bytes.
+    /// Becomes ready when the client has closed or reset the connection, even if unread bytes
+    /// precede the disconnect.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let shared = &mut *self.0.borrow_mut();
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -80,18 +82,18 @@
         Poll::Ready(())
     }
 
-    /// A handle that tells later whether the client has disconnected.
+    /// Returns a handle for checking whether the client has disconnected.
     pub fn presence(&self) -> ClientPresence {
         ClientPresence(Rc::downgrade(&self.0))
     }
 
-    /// Whether bytes of the client were discarded.
+    /// Whether bytes from the client were discarded.
     pub fn has_discarded_bytes(&self) -> bool {
         self.0.borrow().has_discarded_bytes
     }
 
-    /// Whether bytes of the client wait to be read, including those that the runtime has not seen
-    /// yet.
+    /// Whether bytes from the client can be read, including bytes in the kernel's buffer that the
+    /// runtime has not been notified of yet.
     pub fn has_unread_bytes(&self) -> bool {
         let shared = self.0.borrow();
         let peeked = SockRef::from(&shared.stream).peek(&mut [MaybeUninit::uninit()]);
@@ -99,14 +101,15 @@
     }
 }
 
-/// Tells whether a client is still connected, without keeping its connection open.
+/// A weak handle for checking whether a client is still connected. It does not keep the connection
+/// open.
 #[derive(Clone)]
 pub struct ClientPresence(Weak<RefCell<SharedSocket>>);
 
 impl ClientPresence {
-    /// Whether the client has closed the connection or reset it. This reads from the socket itself:
-    /// the runtime learns of a disconnect only when it next polls the system, and other events that
-    /// arrived together with the disconnect may be handled before that.
+    /// Whether the client has closed or reset the connection, or the proxy has dropped it. This
+    /// reads directly from the socket: the runtime learns of a disconnect only when it next polls
+    /// the operating system, and may handle other events that arrived at the same time before that.
     pub fn has_disconnected(&self) -> bool {
         let Some(shared) = self.0.upgrade() else {
             return true;
--- a/crates/proxy/src/server/client_socket/tests.rs
+++ b/crates/proxy/src/server/client_socket/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 
-/// A connected pair: the client's end, and the accepted end.
+/// Returns a connected pair: the client's end and the accepted end.
 async fn connect() -> (std::net::TcpStream, ClientSocket) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -14,8 +14,9 @@
     (client, ClientSocket::new(stream))
 }
 
-/// A client closes or resets its connection after it has sent no bytes, some bytes, or more than
-/// are read ahead. The runtime does not poll its sockets between the disconnect and the check.
+/// The client closes or resets its connection after sending no bytes, some bytes, or more bytes
+/// than the read-ahead limit. The runtime does not poll its sockets between the disconnect and the
+/// check, so a check that relied on the runtime would miss the disconnect.
 #[tokio::test]
 async fn a_disconnect_is_seen_before_the_runtime_has_seen_it() {
     for (sent_bytes, reset) in [
@@ -32,7 +33,7 @@
             .expect("bytes written");
         assert!(
             !presence.has_disconnected(),
-            "{sent_bytes} bytes are no disconnect"
+            "a client that sent {sent_bytes} bytes must count as connected"
         );
         assert_eq!(
             socket.has_discarded_bytes(),
@@ -46,13 +47,14 @@
         drop(client);
         assert!(
             presence.has_disconnected(),
-            "{sent_bytes} bytes, reset {reset}"
+            "disconnect not detected after {sent_bytes} bytes, reset {reset}"
         );
         poll_disconnected_now(&socket).await;
     }
 }
 
-/// The task that polls for the disconnect must notice it too, after `has_disconnected` has.
+/// Waits until `poll_disconnected` is ready. The task that polls must detect the disconnect even if
+/// `has_disconnected` has already read the end of the stream.
 async fn poll_disconnected_now(socket: &ClientSocket) {
     std::future::poll_fn(|cx| socket.poll_disconnected(cx)).await;
 }
@@ -73,6 +75,6 @@
     drop(socket);
     assert!(
         presence.has_disconnected(),
-        "the client of a socket that was dropped on this side counts as disconnected"
+        "a client whose socket the proxy has dropped must count as disconnected"
     );
 }
--- a/crates/proxy/src/server/connection_table.rs
+++ b/crates/proxy/src/server/connection_table.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The client connections that are open, by their identifiers in the order of accepting.
+/// The open client connections, ordered by identifier and thus by the time they were accepted.
 pub(super) struct ConnectionTable {
     max_connections: usize,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -15,7 +15,7 @@
 }
 
 impl ConnectionTable {
-    /// A table without connections.
+    /// Creates an empty table with a limit of `max_connections`.
     pub(super) fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable {
             max_connections,
@@ -29,17 +29,17 @@
         self.connections.borrow().is_empty()
     }
 
-    /// Whether the limit is reached.
+    /// Whether the limit on connections is reached.
     pub(super) fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// Adds a connection.
+    /// Adds a connection. The caller checks the limit with [`ConnectionTable::is_full`] first.
     pub(super) fn insert(&self, id: u64, connection: Rc<ClientConnection>) {
         self.connections.borrow_mut().insert(id, connection);
     }
 
-    /// A guard that removes a connection from the table when it is dropped.
+    /// Returns a guard that removes a connection from the table when it is dropped.
     pub(super) fn guard(&self, id: u64) -> ConnectionGuard<'_> {
         ConnectionGuard { id, table: self }
     }
@@ -49,12 +49,12 @@
         self.connection_closed.notified().await;
     }
 
-    /// Asks the connections that have waited too long for a request to close.
+    /// Asks each connection that has waited too long for the head of a request to close.
     pub(super) fn close_overdue(&self, now: Time) {
         self.close_where(now, |connection| connection.is_overdue(now));
     }
 
-    /// Asks all connections to close for which the predicate holds.
+    /// Asks each connection that matches the predicate to close.
     pub(super) fn close_where(&self, now: Time, predicate: impl Fn(&ClientConnection) -> bool) {
         for connection in self.connections.borrow().values() {
             if predicate(connection) {
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Asks the connection to close that has waited longest for a request. New clients must be able
-    /// to connect even if others hold all connections without sending requests.
+    /// Among the connections that may be evicted, asks the one that has waited longest for a
+    /// request to close. New clients must be able to connect even if others hold all connections
+    /// without sending requests.
     pub(super) fn evict_longest_idle(&self, now: Time) {
         let connections = self.connections.borrow();
         let mut longest_idle: Option<(Time, &ClientConnection)> = None;
@@ -83,7 +84,7 @@
     }
 }
 
-/// Removes a connection from the table when its task ends, also by a panic.
+/// Removes a connection from the table when its task ends, even if the task panics.
 pub(super) struct ConnectionGuard<'a> {
     id: u64,
     table: &'a ConnectionTable,
--- a/crates/proxy/src/server/connection_task.rs
+++ b/crates/proxy/src/server/connection_task.rs
@@ -1,5 +1,5 @@
-//! The task of one client connection: it drives hyper until the connection is to be closed, and
-//! closes it.
+//! The task of one client connection. It runs hyper's HTTP/1 connection until the connection must
+//! close, and then closes it.
 
 use super::client_connection::{ClientConnection, ConnectionPhase};
 use super::client_socket::ClientSocket;
@@ -19,47 +19,47 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The largest head of a request, in bytes: several times the size of a usual one.
+/// The maximum size of a request's head, in bytes. Typical heads are several times smaller.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The most bytes that a lingering close discards. A lingering close follows the response to an
-/// invalid request. An immediate close would reset the connection while more bytes arrive, and the
-/// client could lose the response.
+/// The maximum number of bytes that a lingering close discards. A lingering close follows the
+/// response to an invalid request. An immediate close would reset the connection if more bytes
+/// arrived, and the client could lose the response.
 const MAX_LINGER_BYTES: usize = 4 * MAX_BODY_BYTES;
-/// The longest time that a lingering close takes. Without a limit a client that goes on sending
-/// would keep its connection.
+/// The maximum duration of a lingering close. Without a limit, a client that keeps sending would
+/// keep its connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The buffer into which a lingering close reads what it discards.
+/// The size of the buffer into which a lingering close reads the bytes that it discards.
 const LINGER_BUFFER_BYTES: usize = 8 << 10;
 
 /// Why a connection has stopped serving requests.
 enum ServeEnd {
-    /// hyper has ended the connection: everything is written, or it has failed.
+    /// hyper has finished with the connection: all responses are written, or an error occurred.
     Finished(hyper::Result<()>),
-    /// The connection is to be dropped at once.
+    /// The connection must be dropped without writing anything more.
     Aborted,
 }
 
-/// What a connection does when it is asked to close.
+/// How a connection reacts when it is asked to close.
 enum CloseAction {
-    /// It serves the request that has arrived and has not been read, and waits to be asked again.
+    /// Serve the request that has arrived but has not been read, and wait to be asked again.
     Defer,
-    /// It writes the response that is due, if any, and reads no further request.
+    /// Write the pending response, if any, and read no further request.
     FinishResponse,
-    /// It closes at once.
+    /// Drop the connection without writing anything more.
     Abort,
 }
 
-/// How far the close of a connection has come.
+/// The reactions of a connection to earlier requests to close it.
 #[derive(Default)]
 struct CloseProgress {
-    /// The close was put off once for a request that had not been read.
+    /// Whether the close was already deferred once because of unread bytes.
     was_deferred: bool,
-    /// hyper was told to end the connection after the current response.
+    /// Whether hyper was told to end the connection after the current response.
     is_finishing: bool,
 }
 
 impl CloseProgress {
-    /// Decides what to do when the connection is asked to close, and records the decision.
+    /// Decides how to react to a request to close the connection, and records the decision.
     fn advance(&mut self, connection: &ClientConnection, socket: &ClientSocket) -> CloseAction {
         let action = self.next_action(connection, socket);
         match action {
@@ -72,21 +72,22 @@
 
     fn next_action(&self, connection: &ClientConnection, socket: &ClientSocket) -> CloseAction {
         match connection.phase() {
-            // A request that has arrived is served, even if it has not been read. The close is put
-            // off only once, because some clients always send a little more.
+            // A request that has arrived is served even if it has not been read yet. The close is
+            // deferred only once: a client that keeps sending small pieces could otherwise keep its
+            // connection open.
             ConnectionPhase::AwaitingHead { .. } | ConnectionPhase::ReadingBody
                 if !self.was_deferred && socket.has_unread_bytes() =>
             {
                 CloseAction::Defer
             }
-            // No complete request was received, and no response is being written.
+            // There is no complete request and no response to write.
             ConnectionPhase::ReadingBody => CloseAction::Abort,
             ConnectionPhase::AwaitingHead { .. }
                 if self.is_finishing || !connection.has_served_request() =>
             {
                 CloseAction::Abort
             }
-            // A response that is due or being written is written to its end.
+            // A pending or partly written response is written completely.
             ConnectionPhase::AwaitingHead { .. } | ConnectionPhase::AwaitingResponse => {
                 CloseAction::FinishResponse
             }
@@ -95,7 +96,7 @@
 }
 
 impl Server {
-    /// Serves a connection in a task of its own.
+    /// Registers an accepted connection and serves it in its own task.
     pub(super) fn spawn_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let socket = ClientSocket::new(stream);
@@ -108,7 +109,8 @@
         });
     }
 
-    /// Serves the requests of a connection and closes it.
+    /// Serves the requests of a connection, then closes it. The close lingers if the client may
+    /// still be sending bytes that are not read as requests.
     async fn serve_connection(&self, socket: ClientSocket, connection: &ClientConnection) {
         let service = service_fn(|request| Box::pin(self.handle(request, connection)));
         let mut builder = http1::Builder::new();
@@ -136,7 +138,7 @@
     }
 }
 
-/// Drives hyper until it has ended the connection or the connection is to be dropped.
+/// Runs hyper's connection until hyper has finished with it or the connection must be dropped.
 async fn serve_requests<S>(
     http: &mut http1::Connection<TokioIo<ClientSocket>, S>,
     socket: &ClientSocket,
@@ -154,7 +156,7 @@
             result = poll_fn(|cx| http.poll_without_shutdown(cx)) => {
                 return ServeEnd::Finished(result);
             }
-            // Nobody waits for the response any more.
+            // The client has disconnected, so nobody receives the response.
             () = connection.disconnected_awaiting_response(socket) => return ServeEnd::Aborted,
             () = connection.close_requested() => {}
         }
@@ -166,7 +168,8 @@
     }
 }
 
-/// Closes a connection on which more bytes may arrive than will be read as requests.
+/// Closes a connection on which bytes may still arrive that are not read as requests. It shuts down
+/// the sending side first and then discards input, up to [`LINGER_TIMEOUT`].
 async fn close_lingering(mut socket: ClientSocket) {
     if socket.shutdown().await.is_err() {
         return;
@@ -174,7 +177,7 @@
     let _ = tokio::time::timeout(LINGER_TIMEOUT, discard_input(&mut socket)).await;
 }
 
-/// Discards what arrives until the client closes the connection or has sent [`MAX_LINGER_BYTES`].
+/// Discards incoming bytes until the client closes the connection or has sent [`MAX_LINGER_BYTES`].
 async fn discard_input(socket: &mut ClientSocket) {
     let mut buffer = vec![0; LINGER_BUFFER_BYTES];
     let mut remaining_bytes = MAX_LINGER_BYTES;
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections until the proxy is told to shut down.
+//! Accepts client connections until a short time after the shutdown signal.
 
 use super::shutdown::Shutdown;
 use super::Server;
@@ -8,14 +8,15 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, Interval};
 
-/// The time after SIGTERM for which new connections are still accepted: clients go on connecting
-/// until they learn that the proxy shuts down.
+/// The time after the shutdown signal during which new connections are still accepted, because
+/// clients keep connecting until they learn that the proxy is shutting down.
 const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The pause after a failed accept, which may be due to a lack of descriptors.
+/// The pause after a failed accept. The process may have run out of file descriptors, so an
+/// immediate retry would fail as well.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Server {
-    /// Notes that the shutdown has begun, with the deadlines that follow from it.
+    /// Records the start of the shutdown and the deadlines that follow from it.
     fn begin_shutdown(&self) {
         let shutdown = Shutdown::begin(self.clock.now(), self.rules.max_time_left);
         self.shutdown.set(Some(shutdown));
--- a/crates/proxy/src/server/request_handler.rs
+++ b/crates/proxy/src/server/request_handler.rs
@@ -19,27 +19,29 @@
 
 /// The path of the readiness probe.
 const READINESS_PATH: &str = "/-/ready";
-/// The deadline of a request lies this many of the balancer's ticks before the time at which its
-/// client gives up, because the request and the response spend time on the network.
+/// The number of balancer ticks between the deadline of a request and the time at which its client
+/// gives up. The margin covers the time that the request and the response spend on the network.
 const RESPONSE_MARGIN_TICKS: u64 = 2;
-/// The `Retry-After`, in seconds, of the response to a request whose body finds no memory.
+/// The `Retry-After`, in seconds, of the response to a request that is rejected because the memory
+/// limit for bodies is reached.
 const BODY_MEMORY_RETRY_AFTER: HeaderValue = HeaderValue::from_static("1");
+/// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The response that a client gets.
+/// A response as it is sent to a client.
 type ClientResponse = Response<Full<Bytes>>;
 
-/// A valid, complete request.
+/// A valid request that was received completely.
 struct CompleteRequest {
-    /// When its head arrived.
+    /// When the head arrived.
     arrived_at: Time,
     head: Parts,
     body: Bytes,
     metadata: RequestMetadata,
 }
 
-/// A request that the driver knows of. If it is dropped before the response, its client has
-/// disconnected, and the driver is told so.
+/// Keeps a request open. If the guard is dropped before the driver has responded, the client has
+/// disconnected, and the guard reports that to the driver.
 struct RequestGuard<'a> {
     id: RequestId,
     correlation_id: HeaderValue,
@@ -48,7 +50,7 @@
 }
 
 impl<'a> RequestGuard<'a> {
-    /// Opens a request, unless another with its correlation identifier is open.
+    /// Opens a request. Fails if another open request has the same correlation identifier.
     fn open(
         server: &'a Server,
         correlation_id: HeaderValue,
@@ -80,7 +82,7 @@
 }
 
 impl Server {
-    /// Handles a request: the service that hyper calls.
+    /// Handles one request. hyper calls this for each request of a connection.
     pub(super) async fn handle(
         &self,
         request: Request<Incoming>,
@@ -98,6 +100,8 @@
         Ok(response)
     }
 
+    /// Validates and reads a request and obtains its response. Returns an error if the server
+    /// rejects the request before it reaches the driver.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -129,7 +133,7 @@
         Ok(client_response(response))
     }
 
-    /// Tells whether the proxy can serve requests, for the readiness probe.
+    /// The response to the readiness probe: whether the proxy can serve requests.
     fn readiness_response(&self) -> ClientResponse {
         let is_ready = self.status.serving.get() && self.shutdown.get().is_none();
         if is_ready {
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Hands a request to the driver and waits for its final response.
+    /// Sends a request to the driver and waits for the final response.
     async fn send_to_driver(
         &self,
         mut guard: RequestGuard<'_>,
@@ -171,7 +175,8 @@
         response.unwrap_or(FinalResponse::Failed)
     }
 
-    /// The time by which a request must be answered.
+    /// The time by which a request must be answered. During a shutdown it lies early enough for the
+    /// response to be sent before the process may be killed.
     fn deadline(&self, arrived_at: Time, time_left: Micros) -> Time {
         let margin = RESPONSE_MARGIN_TICKS * self.tick.0;
         let deadline = arrived_at + Micros(time_left.0.saturating_sub(margin));
@@ -182,7 +187,7 @@
     }
 }
 
-/// Reads a body, up to the limit of its size and until its deadline.
+/// Reads a body of at most [`MAX_BODY_BYTES`]. Fails if the body is not complete at the deadline.
 async fn read_body(body: Incoming, deadline: Instant) -> Result<Bytes, RequestError> {
     let body = Limited::new(body, MAX_BODY_BYTES).collect();
     match tokio::time::timeout_at(deadline, body).await {
@@ -192,7 +197,7 @@
     }
 }
 
-/// The head that is forwarded: method, path and end-to-end headers.
+/// Builds the head that is forwarded to backends: method, path and end-to-end headers.
 fn forwarded_head(mut head: Parts) -> Request<()> {
     remove_hop_by_hop_headers(&mut head.headers);
     let mut forwarded = Request::new(());
@@ -206,13 +211,13 @@
     forwarded
 }
 
-/// The response of the driver as the client gets it.
+/// Converts the driver's response to the response that is sent to the client.
 fn client_response(response: FinalResponse) -> ClientResponse {
     match response {
         FinalResponse::Served(response) => response.map(Full::new),
         FinalResponse::Rejected(retry_after) => {
             let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
-            // Whole seconds: not every client reads decimals.
+            // The value is rounded up to whole seconds, because not every client accepts decimals.
             let seconds = HeaderValue::from(retry_after.0.div_ceil(MICROS_PER_SECOND));
             response.headers_mut().insert(RETRY_AFTER, seconds);
             response
--- a/crates/proxy/src/server/request_validation.rs
+++ b/crates/proxy/src/server/request_validation.rs
@@ -1,5 +1,4 @@
-//! Validates the head of a request: extracts what the balancer needs to know of it, or tells why it
-//! is rejected.
+//! Validates the head of a request and extracts the metadata that the balancer and the server need.
 
 use crate::clock::MICROS_PER_MILLISECOND;
 use crate::forwarded_request::{MAX_BODY_BYTES, TIME_LEFT_HEADER};
@@ -10,20 +9,21 @@
 use hyper::{Method, StatusCode};
 use thiserror::Error;
 
-/// The class of the request.
+/// The traffic class of the request.
 const SERVICE_CLASS: HeaderName = HeaderName::from_static("x-service-class");
 /// The tenant that sends the request.
 const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
-/// `1` if the client repeats an earlier request of its own.
+/// `1` if the request is the client's own retry of an earlier request.
 const REPEAT: HeaderName = HeaderName::from_static("x-repeat");
 /// The work that the client expects of the request, in microseconds of processor time on a standard
 /// core.
 const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
 /// The client's own identifier of the request.
 const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// The key under which a backend recognizes a repeated request.
+/// The key by which a backend recognizes a repeated request.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// The longest correlation identifier. Identifiers are held in memory while their request is open.
+/// The maximum length of a correlation identifier, in bytes. It is limited because each identifier
+/// is kept in memory while its request is open.
 const MAX_CORRELATION_ID_BYTES: usize = 128;
 
 /// Why a request is rejected before it reaches the balancer. The display text is the body of the
@@ -34,10 +34,10 @@
     /// The body is not framed by a length.
     #[error("expected Content-Length, not Transfer-Encoding")]
     TransferEncoding,
-    /// The announced body is larger than any that is forwarded, or of unknown length.
+    /// The announced length of the body exceeds [`MAX_BODY_BYTES`] or is unknown.
     #[error("the body is over {} KiB", MAX_BODY_BYTES >> 10)]
     BodyTooLarge,
-    /// The bodies of open requests use up the memory that is set aside for them.
+    /// The memory limit for the bodies of open requests leaves no room for this body.
     #[error("too many large requests at once")]
     BodyMemoryExhausted,
     /// The body ended early or could not be parsed.
@@ -49,34 +49,35 @@
     /// A required header is missing.
     #[error("expected {0}")]
     MissingHeader(&'static str),
-    /// A header that may occur once occurs several times.
+    /// A header that must occur at most once occurs several times.
     #[error("a header that must stand once stands twice")]
     RepeatedHeader,
-    /// A header has bytes outside printable ASCII.
+    /// A header contains bytes other than visible ASCII characters, spaces and tabs.
     #[error("a header that can't be read")]
     UnreadableHeader,
     /// A numeric header does not hold a whole number.
     #[error("expected a whole number in X-Time-Left-Ms and X-Weight-Hint")]
     InvalidNumber,
-    /// The class is not configured.
+    /// The class is not in the configuration.
     #[error("X-Service-Class: unknown class")]
     UnknownClass,
-    /// The path does not begin with the class.
+    /// The first segment of the path is not the class.
     #[error("expected the class as the first part of the path")]
     ClassNotInPath,
-    /// The request is not of the form that the idempotency of its class asks for.
+    /// The method, the body or the idempotency key does not match the idempotency of the class.
     #[error("the method, the body or Idempotency-Key does not fit the class")]
     ClassMismatch,
-    /// The tenant is not configured.
+    /// The tenant is not in the configuration.
     #[error("X-Account: unknown tenant")]
     UnknownTenant,
-    /// The correlation identifier is empty, too long, or has characters that are not allowed.
+    /// The correlation identifier is empty, too long, or contains characters other than visible
+    /// ASCII.
     #[error(
         "X-Correlation-Id: expected up to {} visible characters",
         MAX_CORRELATION_ID_BYTES
     )]
     InvalidCorrelationId,
-    /// The correlation identifier cannot be held as a header value.
+    /// The correlation identifier cannot be converted to a header value.
     #[error("X-Correlation-Id: not readable")]
     UnreadableCorrelationId,
     /// Another request with the same correlation identifier is open.
@@ -85,7 +86,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The status code of the response to the rejected request.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
@@ -108,36 +109,37 @@
     }
 }
 
-/// What the balancer and the server need to know of a valid request.
+/// The metadata of a valid request that the balancer and the server need.
 #[derive(Debug)]
 pub struct RequestMetadata {
-    /// The identifier that the client gave the request.
+    /// The identifier that the client chose for the request.
     pub correlation_id: HeaderValue,
-    /// Its class.
+    /// The traffic class.
     pub class: ClassId,
-    /// Its tenant, if tenants are configured.
+    /// The tenant, or `None` if no tenants are configured.
     pub tenant: Option<TenantId>,
-    /// The time that the client waits for the response.
+    /// How long the client still waits for the response, limited to `RequestRules::max_time_left`.
     pub time_left: Micros,
-    /// The work that the client expects of it.
+    /// The work that the client expects of the request, as processor time on a standard core.
     pub work_hint: Option<Micros>,
-    /// Whether the client repeats an earlier request.
+    /// Whether the request is the client's own retry of an earlier request.
     pub is_retry: bool,
 }
 
 /// The configuration against which requests are validated.
 pub struct RequestRules {
-    /// The names of classes and tenants.
+    /// Maps the configured names of classes and tenants to their identifiers.
     pub names: Names,
-    /// The classes, by [`ClassId`].
+    /// The classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// The longest time that a client waits; a longer one is reduced to it.
+    /// The longest time that a client may wait for a response. A longer `X-Time-Left-Ms` is reduced
+    /// to it.
     pub max_time_left: Micros,
 }
 
-/// Rejects a request whose body is not framed by a length, or is too large. hyper removes
+/// Rejects a request whose body has no announced length or is too large. hyper removes
 /// `Content-Length` if `Transfer-Encoding` is present too, so a request with both headers cannot be
-/// told from one with `Transfer-Encoding` alone.
+/// distinguished from one with `Transfer-Encoding` alone.
 pub fn check_framing(head: &Parts, body_length: Option<u64>) -> Result<(), RequestError> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -175,7 +177,7 @@
         })
     }
 
-    /// The class that the header names; the path must begin with it.
+    /// Returns the class that the header names. The first segment of the path must be that name.
     fn parse_class(&self, head: &Parts) -> Result<ClassId, RequestError> {
         let name = required_text(&head.headers, &SERVICE_CLASS, "X-Service-Class")?;
         let class = self.names.class(name).ok_or(RequestError::UnknownClass)?;
@@ -185,8 +187,7 @@
         Ok(class)
     }
 
-    /// Checks that method, body and idempotency key are those that the class's idempotency asks
-    /// for.
+    /// Checks that the method, the body and the idempotency key match the idempotency of the class.
     fn check_idempotency(
         &self,
         head: &Parts,
@@ -208,7 +209,7 @@
         }
     }
 
-    /// The tenant that the header names, if tenants are configured.
+    /// Returns the tenant that the header names, or `None` if no tenants are configured.
     fn parse_tenant(&self, headers: &HeaderMap) -> Result<Option<TenantId>, RequestError> {
         let name = optional_text(headers, &ACCOUNT)?;
         if !self.names.has_tenants() {
@@ -232,8 +233,8 @@
     }
 }
 
-/// The text of a header that must be present. `display_name` is its name in the response to a
-/// request without it.
+/// Returns the text of a header that must be present. `display_name` is the name of the header in
+/// the error response if it is missing.
 fn required_text<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -242,8 +243,8 @@
     optional_text(headers, name)?.ok_or(RequestError::MissingHeader(display_name))
 }
 
-/// The text of a header. A header that occurs twice is rejected, because the proxy could act on the
-/// first of them and a backend on the second.
+/// Returns the text of a header, if it is present. A header that occurs twice is rejected, because
+/// the proxy could act on the first value and a backend on the second.
 fn optional_text<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -260,7 +261,7 @@
     Ok(Some(text))
 }
 
-/// The value of a header that holds decimal digits alone.
+/// Returns the number in a header, if the header is present. Only decimal digits are accepted.
 fn optional_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, RequestError> {
     let Some(text) = optional_text(headers, name)? else {
         return Ok(None);
--- a/crates/proxy/src/server/request_validation/tests.rs
+++ b/crates/proxy/src/server/request_validation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Clients see the texts and the statuses: a change of either is a change of the proxy's interface.
+/// The statuses and texts are part of the proxy's interface to clients.
 #[test]
 #[expect(clippy::too_many_lines, reason = "it is one table of cases")]
 fn each_error_has_its_status_and_text() {
--- a/crates/proxy/src/server/shutdown.rs
+++ b/crates/proxy/src/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: its deadlines, the drain of the accept queue, and the close of the open
+//! Graceful shutdown: computes its deadlines, drains the accept queue and closes the open
 //! connections.
 
 use super::Server;
@@ -9,30 +9,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, Interval};
 
-/// The time from SIGTERM until which an accepted connection may send its first request. The process
-/// may be killed before it could respond to a later one.
+/// The time after the shutdown signal during which an accepted connection may send its first
+/// request. The process may be killed before it could respond to a later one.
 const FIRST_REQUEST_PERIOD: Micros = Micros(700_000);
-/// The process may be killed this long after the longest deadline of a request that arrived by
-/// SIGTERM.
+/// The time between the longest deadline of the requests that arrived before the shutdown signal
+/// and the moment at which the process may be killed.
 const KILL_GRACE_PERIOD: Micros = Micros(700_000);
-/// The longest deadline that is taken into account for the time of the kill.
+/// The upper bound on the request deadline from which the time of the kill is computed.
 const KILL_MAX_TIME_LEFT: Micros = Micros(3_000_000);
-/// A request that arrives after SIGTERM is answered this long before the kill, because the response
-/// spends time on the network.
+/// The time between the latest response to a request that arrives after the shutdown signal and the
+/// moment at which the process may be killed. The response needs this time to cross the network.
 const RESPONSE_TRANSIT_MARGIN: Micros = Micros(100_000);
 
 /// A graceful shutdown that has begun.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     began_at: Time,
-    /// The latest deadline of the requests that arrive from now on. The process may be killed a
-    /// moment later.
+    /// The latest deadline of requests that arrive during the shutdown. The process may be killed
+    /// [`RESPONSE_TRANSIT_MARGIN`] later.
     pub(super) response_deadline: Time,
 }
 
 impl Shutdown {
-    /// Begins a shutdown now. `max_time_left` is the longest time that a client waits for a
-    /// response.
+    /// Creates a shutdown that begins at `now`. `max_time_left` is the longest time that a client
+    /// waits for a response.
     pub(super) fn begin(now: Time, max_time_left: Micros) -> Shutdown {
         let kill_at = now + max_time_left.min(KILL_MAX_TIME_LEFT) + KILL_GRACE_PERIOD;
         Shutdown {
@@ -41,22 +41,24 @@
         }
     }
 
-    /// Whether connections may no longer bring their first request.
+    /// Whether it is too late for a connection to send its first request.
     fn is_first_request_late(&self, now: Time) -> bool {
         now - self.began_at >= FIRST_REQUEST_PERIOD
     }
 }
 
 impl Server {
-    /// Accepts what is left in the accept queue and closes the connections as their requests are
-    /// answered. Returns when none is left or all deadlines are over.
+    /// Accepts the connections that are left in the accept queue, and closes each connection once
+    /// its requests are answered. Returns when the queue is empty and all connections are closed,
+    /// or when the deadlines of all requests have passed.
     pub(super) async fn drain(
         self: &Rc<Self>,
         listener: TcpListener,
         overdue_check: &mut Interval,
     ) {
         let mut listener = listener.into_std().ok();
-        // Requests from before SIGTERM keep their full time; those that arrived later end sooner.
+        // Requests that arrived before the shutdown signal keep their full time. Later requests
+        // have earlier deadlines.
         let drain_deadline =
             Instant::now() + duration(self.rules.max_time_left + KILL_GRACE_PERIOD);
         loop {
@@ -73,8 +75,8 @@
         }
     }
 
-    /// Asks those connections to close that wait for a further request, or have waited too long for
-    /// their first.
+    /// Asks each connection to close that waits for the head of a request, except for connections
+    /// that may still send their first request.
     fn close_between_requests(&self) {
         let now = self.clock.now();
         let shutdown = self.shutdown.get();
@@ -86,10 +88,10 @@
         });
     }
 
-    /// Accepts connections from the kernel's accept queue until the queue is empty or the limit on
-    /// connections is reached. The kernel has completed the handshakes of queued connections, so
-    /// their clients may already send requests, even if the runtime has not noticed them yet.
-    /// Returns whether the queue may hold more.
+    /// Accepts connections from the kernel's accept queue until the queue is empty, the limit on
+    /// connections is reached or an error occurs. The kernel has completed the handshakes of queued
+    /// connections, so their clients may already be sending requests, even if the runtime has not
+    /// been notified of the connections yet. Returns whether the queue may hold more connections.
     fn accept_queued(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
         while !self.connections.is_full() {
             let stream = match listener.accept() {
