--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,4 +1,5 @@
-//! The balancer's time: Unix microseconds, as in the start times of backends.
+//! The source of the balancer's time, which is Unix time in microseconds. The start times of
+//! backends use the same time scale.
 
 use brookstack_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,20 +7,20 @@
 
 /// Microseconds in a millisecond.
 pub const MICROS_PER_MILLISECOND: u64 = 1_000;
-/// The latest instant that [`Clock::instant`] returns lies this far ahead: one hour.
+/// The furthest that an instant returned by [`Clock::instant`] lies in the future: one hour.
 const MAX_AHEAD: Micros = Micros(3_600_000_000);
 
-/// A clock that reads the system's time once and carries it on with the monotonic clock, so that a
-/// correction of the system's time moves no deadline.
+/// A clock that reads the system time once and then advances with the monotonic clock, so that
+/// corrections of the system time do not move deadlines.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    /// The system's time at `start`.
+    /// The system time at `start`.
     start_time: Time,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at the current system time.
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -30,13 +31,13 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.start_time + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time, for the runtime's timers. For a time that is more than an hour ahead
-    /// it returns the instant an hour from now.
+    /// Converts a time to an instant for the runtime's timers. A time more than one hour in the
+    /// future is converted to the instant one hour from now.
     pub fn instant(&self, time: Time) -> Instant {
         let latest = self.now() + MAX_AHEAD;
         let since_start = time.min(latest) - self.start_time;
@@ -44,7 +45,7 @@
     }
 }
 
-/// A time span for the runtime's timers.
+/// Converts a time span to a duration for the runtime's timers.
 pub fn duration(span: Micros) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file: read, checked and turned into a [`Config`].
+//! Reads and validates the configuration file and converts it to a [`Config`].
 
 mod document;
 mod error;
@@ -15,51 +15,54 @@
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// The lowest limit on file descriptors. A lower one would leave none for clients and backends.
+/// The lowest accepted limit on file descriptors. Some are reserved for other purposes, so a lower
+/// limit would leave too few for clients and backends, or none.
 const MIN_DESCRIPTORS: u32 = 64;
-/// The unit of the memory limit in the file.
+/// The number of bytes in a megabyte, the unit of the memory limit in the configuration file.
 const BYTES_PER_MB: usize = 1 << 20;
-/// The text of an endpoint list may take one part in this many of the memory limit. With a limit of
-/// 64 MB that is 8 MB, the size of an indented list of 17,000 entries with long names.
+/// The JSON text of an endpoint list may be as large as the memory limit divided by this number.
+/// With a limit of 64 MB that is 8 MB, the size of an indented list of 17,000 entries with long
+/// names.
 const LIST_MEMORY_DIVISOR: usize = 8;
-/// An endpoint list of this many bytes, which is several thousand entries, is accepted with every
-/// memory limit.
+/// An endpoint list of up to this many bytes is accepted with every memory limit. It holds several
+/// thousand entries.
 const MIN_LIST_BYTES: usize = 4 << 20;
 
 /// The configuration of a proxy.
 pub struct Config {
-    /// Where the proxy accepts its clients' connections.
+    /// The address on which the proxy accepts client connections.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of every random choice.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The number of file descriptors that the process may hold.
+    /// The maximum number of open file descriptors of the process.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may use.
+    /// The memory limit of the process, in bytes.
     pub memory_limit_bytes: usize,
-    /// The endpoint list that this proxy held last, if there is one.
+    /// The last endpoint list that an earlier run of this proxy held, if the file contains one.
     pub cached_endpoints: Option<EndpointList>,
     /// The configuration of the balancer.
     pub balancer: brookstack_balancer::Config,
-    /// The names of the balancer's classes and tenants.
+    /// Maps the configured names of classes and tenants to the balancer's identifiers.
     pub names: Names,
-    /// The number of requests that may be open at once. Those in excess are rejected before they
-    /// reach the balancer.
+    /// The maximum number of open requests. Requests beyond it are rejected before they reach the
+    /// balancer.
     pub max_open_requests: usize,
-    /// The time after which a backend closes an idle connection, at the latest.
+    /// The time after which backends close idle connections at the latest.
     pub idle_timeout: Micros,
-    /// A connection to a backend that is not established after this time counts as failed.
+    /// The time after which an attempt to connect to a backend counts as failed.
     pub connect_timeout: Micros,
-    /// The longest deadline of any class: no client waits longer.
+    /// The longest deadline of any class. No client waits longer for a response.
     pub longest_deadline: Micros,
-    /// The largest endpoint list that is read, in bytes.
+    /// The maximum size of an endpoint list's JSON text, in bytes.
     pub max_list_bytes: usize,
-    /// The file's content without the cached endpoints, for the comparison with a newer file.
+    /// The content of the file without the cached endpoint list. A reload compares it with the
+    /// content of the reloaded file.
     pub document: Value,
 }
 
-/// Reads the file that the environment variable `BALANCER_CONFIG` names.
+/// Reads the configuration file that the environment variable `BALANCER_CONFIG` names.
 pub fn load() -> Result<Config, ConfigFileError> {
     let path = std::env::var_os(CONFIG_VARIABLE)
         .map(PathBuf::from)
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -1,6 +1,6 @@
-//! The configuration file as JSON. The cached endpoint list is kept apart from the other members:
-//! it is long, and it takes no part in the comparison of two documents, because a running proxy
-//! holds a newer list.
+//! Deserializes the configuration file. The cached endpoint list is kept separate from the other
+//! members, because it is long and is not compared when the configuration is reloaded: a running
+//! proxy holds a newer list.
 
 use crate::discovery::endpoint_list::EndpointList;
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, Visitor};
@@ -10,11 +10,11 @@
 /// The key of the cached endpoint list.
 const CACHED_ENDPOINTS_KEY: &str = "known";
 
-/// The configuration file's content.
+/// The content of the configuration file.
 pub(super) struct ConfigDocument {
-    /// The cached endpoint list.
+    /// The cached endpoint list, if the file contains one.
     pub cached_endpoints: Option<EndpointList>,
-    /// All other members, as an object.
+    /// All other members, as a JSON object.
     pub other_members: Value,
 }
 
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration file cannot be used.
+//! The errors of reading and validating the configuration file.
 
 use super::CONFIG_VARIABLE;
 use brookstack_balancer::settings::InvalidValue;
@@ -6,8 +6,8 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the configuration file cannot be used. Each text is one line that names the environment
-/// variable or the path of a value in the file, what was expected there, and what was found.
+/// The reason why the configuration file cannot be used. Each message is one line that names the
+/// environment variable or the path of a value in the file, what was expected and what was found.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The environment variable that names the file is not set.
@@ -16,26 +16,26 @@
     /// The file cannot be read.
     #[error("{CONFIG_VARIABLE}: expected a readable file, got {}: {source}", .path.display())]
     Unreadable {
-        /// The file's name.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The cause.
         source: io::Error,
     },
     /// The file is not JSON.
     #[error("{CONFIG_VARIABLE}: expected JSON in {}: {source}", .path.display())]
     NotJson {
-        /// The file's name.
+        /// The path of the file.
         path: PathBuf,
-        /// Where it is not JSON.
+        /// The syntax error and its position in the file.
         source: serde_json::Error,
     },
     /// The JSON is not an object, or its cached endpoint list is not valid.
     #[error(transparent)]
     InvalidDocument(serde_json::Error),
-    /// A value is missing or not what is expected.
+    /// A value is missing or invalid.
     #[error(transparent)]
     InvalidValue(#[from] InvalidValue),
-    /// The settings of the balancer are out of their ranges.
+    /// A setting of the balancer is out of its range.
     #[error("settings.{0}")]
     OutOfRange(#[from] ConfigError),
 }
--- a/crates/proxy/src/forwarded_request.rs
+++ b/crates/proxy/src/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! A request as it is forwarded to backends, and what changes in its headers on the way.
+//! The form in which a request is forwarded to backends, and the removal of hop-by-hop headers.
 
 use bytes::Bytes;
 use hyper::header::{
@@ -7,25 +7,26 @@
 };
 use hyper::Request;
 
-/// The largest body of a request or a response, in bytes.
+/// The maximum size of the body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// The header that tells a backend how long the client still waits, in milliseconds.
+/// The header with the time that the client still waits for the response, in milliseconds.
 pub const TIME_LEFT_HEADER: HeaderName = HeaderName::from_static("x-time-left-ms");
 
-/// A request as it is forwarded. All attempts send the same, except for the time left.
+/// A request as it is forwarded. All attempts send the same head and body, except for the header
+/// with the time left.
 pub struct ForwardedRequest {
-    /// Method, path and headers, without hop-by-hop headers.
+    /// The method, the path and the headers without hop-by-hop headers.
     pub head: Request<()>,
     /// The complete body.
     pub body: Bytes,
-    /// Whether its client has disconnected. This is checked right before the first byte of each
-    /// attempt.
+    /// Returns whether the client has disconnected. Each attempt checks this right before it sends
+    /// its first byte.
     pub client_disconnected: Box<dyn Fn() -> bool>,
 }
 
-/// The headers that concern a single connection, even if `Connection` does not name them.
-/// `Content-Length` is among them because it is set anew for the next hop, and `Expect` because the
-/// body is already complete.
+/// The headers that are removed even if `Connection` does not name them. `Content-Length` is one of
+/// them because it is set again for the next hop. `Expect` is one because the body is already
+/// complete.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     TRANSFER_ENCODING,
@@ -37,14 +38,15 @@
     EXPECT,
 ];
 
-/// The options that the `Connection` headers list (RFC 9110, section 7.6.1).
+/// Returns the options that the `Connection` headers list (RFC 9110, section 7.6.1).
 pub fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     let values = headers.get_all(CONNECTION).iter();
     let readable_values = values.filter_map(|value| value.to_str().ok());
     readable_values.flat_map(|value| value.split(',').map(str::trim))
 }
 
-/// Removes the headers that concern a single connection (RFC 9110, section 7.6.1).
+/// Removes the hop-by-hop headers, including those that `Connection` names (RFC 9110, section
+/// 7.6.1).
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let mut named_headers = Vec::new();
     for option in connection_options(headers) {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
 //! An HTTP/1.1 reverse proxy that balances load over a fleet of backends.
 //!
-//! Every load-balancing decision is made by `brookstack_balancer`; this crate owns the sockets, the
-//! timers, the watch on the endpoint list, the configuration and the signals. [`run`] is the whole
-//! program except for the set-up of the log and the exit code.
+//! `brookstack_balancer` makes all load-balancing decisions. This crate handles the sockets, the
+//! timers, the watch on the endpoint list, the configuration and the signals. [`run`] starts the
+//! proxy and returns when it has shut down; the executable only adds logging and the exit code.
 
 mod attempt;
 mod backend_connection;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,9 +1,11 @@
-//! The proxy's program: writes the log to standard error, runs the proxy and exits with 0 after a
-//! graceful shutdown, with 1 and a line on standard error if the proxy could not start.
+//! The proxy's executable. It writes the log to standard error and runs the proxy. It exits with 0
+//! after a graceful shutdown. If the proxy cannot start, it writes one line to standard error and
+//! exits with 1.
 
 use std::process::ExitCode;
 
-/// The environment variable that sets the log level: error, warn, info, debug or trace.
+/// The environment variable that sets the log level: error, warn, info, debug or trace. The default
+/// is info.
 const LOG_LEVEL_VARIABLE: &str = "BROOKSTACK_LOG";
 
 fn main() -> ExitCode {
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -1,4 +1,4 @@
-//! What other parts of the proxy send to the driver, and what the driver sends back.
+//! The messages that other parts of the proxy send to the driver, and the driver's responses.
 
 use crate::backend_response::AttemptResult;
 use crate::discovery::endpoint_list::ResolvedEndpoint;
@@ -11,53 +11,53 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets at most one.
 pub enum FinalResponse {
     /// A backend's response.
     Served(Response<Bytes>),
-    /// The request was rejected; the client may retry after this time.
+    /// The request was rejected. The client may retry after the given time.
     Rejected(Micros),
-    /// The request failed.
+    /// The request failed. The client gets an error response.
     Failed,
 }
 
-/// A request that was received completely.
+/// A completely received request that is sent to the driver.
 pub struct IncomingRequest {
-    /// Its id.
+    /// The identifier of the request within this proxy.
     pub id: RequestId,
-    /// Its traffic class.
+    /// The traffic class.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// The tenant, or `None` if no tenants are configured.
     pub tenant: Option<TenantId>,
-    /// When the client must have its response.
+    /// The time by which the request must be answered.
     pub deadline: Time,
-    /// The expected work, as processor time on a standard core.
+    /// The work that the client expects, as processor time on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client marked the request as a retry of an earlier one.
+    /// Whether the client marked the request as its own retry of an earlier request.
     pub is_retry: bool,
-    /// What is sent to backends.
+    /// The request as it is forwarded to backends.
     pub forwarded: Rc<ForwardedRequest>,
-    /// Where the final response goes.
+    /// The sender for the final response.
     pub reply: oneshot::Sender<FinalResponse>,
 }
 
 /// Identifies an attempt within the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request.
+    /// The identifier of the request.
     pub request: RequestId,
-    /// The attempt's number within the request.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNumber,
 }
 
-/// What happens in the proxy and concerns the driver.
+/// An event in the proxy that the driver handles.
 pub enum DriverEvent {
-    /// A request was received.
+    /// A request was received completely.
     RequestArrived(IncomingRequest),
-    /// The client has closed its connection; no response is owed.
+    /// The client disconnected, so the request needs no response any more.
     ClientDisconnected(RequestId),
-    /// An attempt has ended by itself.
+    /// An attempt has ended without being aborted by the driver.
     AttemptEnded(AttemptId, AttemptResult),
-    /// The endpoint list changed, or the watch on it ended.
+    /// The endpoint list was loaded or has changed, or a poll or watch of discovery failed.
     EndpointsUpdated(EndpointUpdate, Vec<ResolvedEndpoint>),
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,6 @@
-//! Reloading the configuration at SIGHUP. Only a new address of discovery takes effect; the other
-//! changes are listed in the log and take effect at the next start. The proxy goes on serving from
-//! the endpoint list that it holds.
+//! Reloads the configuration on SIGHUP. Only a changed address of discovery takes effect. All other
+//! changed values are listed in the log and take effect at the next start. The proxy continues to
+//! serve requests with its current endpoint list.
 
 use crate::config::{self, Config};
 use serde_json::Value;
@@ -11,10 +11,10 @@
 /// The key whose new value takes effect in a running proxy.
 const RELOADED_KEY: &str = "discovery";
 
-/// Reloads the configuration at each SIGHUP and sends the address of discovery if it has changed. A
-/// file that cannot be used changes nothing.
+/// Reloads the configuration on each SIGHUP and sends the address of discovery if it has changed.
+/// An invalid file changes nothing.
 ///
-/// `running` is the document that the proxy was started with.
+/// `running` is the configuration document that the proxy was started with.
 pub async fn reload_at_hangup(
     mut hangup: Signal,
     running: Value,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Applies a new configuration, and logs the changed keys that wait for a restart.
+/// Applies a reloaded configuration and logs the changed keys that require a restart.
 fn apply(running: &Value, newer: &Config, discovery: &watch::Sender<SocketAddr>) {
     let address = newer.discovery;
     let waiting_keys = keys_waiting_for_restart(running, &newer.document).join(", ");
@@ -49,7 +49,7 @@
     });
 }
 
-/// The paths of the changed values that take effect only at the next start.
+/// Returns the paths of the changed values that take effect only at the next start.
 fn keys_waiting_for_restart(running: &Value, newer: &Value) -> Vec<String> {
     let mut paths = Vec::new();
     collect_differences(String::new(), running, newer, &mut paths);
@@ -57,7 +57,7 @@
     paths
 }
 
-/// Adds the paths at which two documents differ. A missing member counts as `null`.
+/// Appends the paths at which two documents differ. A missing member counts as `null`.
 fn collect_differences(path: String, old: &Value, new: &Value, paths: &mut Vec<String>) {
     let (Value::Object(old_members), Value::Object(new_members)) = (old, new) else {
         if old != new {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The path of an object's member, in the form `settings.limits.sockets`.
+/// Returns the path of an object's member, in the form `settings.limits.sockets`.
 fn member_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_string()
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,5 @@
-//! Start-up: catches signals, reads the configuration, and builds and runs the parts of the proxy.
+//! Startup: installs the signal handlers, reads the configuration, and builds and runs the parts of
+//! the proxy.
 
 mod error;
 
@@ -23,16 +24,16 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
 
-/// The number of descriptors that are kept for the listener, discovery, signals, standard streams
-/// and the runtime.
+/// The number of file descriptors that are reserved for the listener, discovery, signals, standard
+/// streams and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The bodies of open requests may take one part in this many of the memory limit.
+/// The bodies of open requests may use the memory limit divided by this number.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// Runs the proxy in the calling thread until it has shut down.
+/// Runs the proxy on the calling thread until it has shut down.
 ///
 /// The environment variable `BALANCER_CONFIG` names the configuration file. SIGHUP makes the proxy
-/// read the file again; SIGTERM and SIGINT begin a graceful shutdown.
+/// reload the file. SIGTERM and SIGINT begin a graceful shutdown.
 pub fn run() -> Result<(), StartupError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -42,7 +43,8 @@
 }
 
 async fn serve() -> Result<(), StartupError> {
-    // Signals are caught before anything slow is done, because an uncaught one ends the process.
+    // The handlers are installed before any slow work, because a signal without a handler
+    // terminates the process.
     let signals = Signals::catch()?;
     let mut config = config::load()?;
     let listener = bind(config.listen).await?;
@@ -69,7 +71,7 @@
     Ok(())
 }
 
-/// The signals that the proxy handles.
+/// The streams of the signals that the proxy handles.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -90,7 +92,7 @@
     signal(kind).map_err(|source| StartupError::Signal { name, source })
 }
 
-/// Returns when the first of two signals comes.
+/// Returns when either signal arrives.
 async fn first_of(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
@@ -104,14 +106,15 @@
         .map_err(|source| StartupError::Listen { address, source })
 }
 
-/// What the parts of the proxy share.
+/// State that is shared by several parts of the proxy.
 struct Shared {
     clock: Clock,
     /// Sends events to the driver.
     events: mpsc::UnboundedSender<DriverEvent>,
-    /// The driver notifies the watch when the balancer requests a poll of discovery.
+    /// The driver uses this to notify the endpoint watcher that the balancer requests a poll of
+    /// discovery.
     poll_requested: Rc<Notify>,
-    /// What the driver reports to the server.
+    /// The status that the driver reports to the server.
     status: Rc<Status>,
 }
 
@@ -126,8 +129,8 @@
     }
 }
 
-/// How many connections may be open. Clients and backends each get half of the descriptors that are
-/// not reserved.
+/// The maximum numbers of open connections. Clients and backends each get half of the file
+/// descriptors that are not reserved.
 struct ConnectionLimits {
     clients: usize,
     backends: usize,
@@ -192,12 +195,12 @@
     }
 }
 
-/// Hands the cached endpoint list to the driver, or an empty one. The balancer acts only on events:
-/// without a first event it would never request a poll of discovery.
+/// Sends the cached endpoint list to the driver, or an empty list if there is none. The balancer
+/// acts only on events; without this first event it would never request a poll of discovery.
 fn announce_cached_endpoints(shared: &Shared, cached_endpoints: Option<EndpointList>) {
     let endpoints = cached_endpoints.map_or_else(Vec::new, |list| list.endpoints);
     let event = DriverEvent::EndpointsUpdated(EndpointUpdate::Cached, endpoints);
-    let _ = shared.events.send(event); // does not fail while `serve` holds the receiver
+    let _ = shared.events.send(event); // cannot fail: `serve` still holds the receiver
 }
 
 fn new_driver(
@@ -218,8 +221,8 @@
     driver.map_err(StartupError::Settings)
 }
 
-/// Runs the driver. If the driver ends by a fault, the proxy fails every request. It then reports
-/// that it is not ready, so that no more requests are sent to it.
+/// Runs the driver in its own task. If that task panics, every request fails. The proxy then
+/// reports that it is not ready, so that it receives no more requests.
 fn spawn_driver(driver: Driver, events: mpsc::UnboundedReceiver<DriverEvent>, status: Rc<Status>) {
     let driver_task = tokio::task::spawn_local(driver.run(events));
     tokio::task::spawn_local(async move {
--- a/crates/proxy/src/startup/error.rs
+++ b/crates/proxy/src/startup/error.rs
@@ -1,36 +1,36 @@
-//! Why the proxy could not start.
+//! The errors that prevent the proxy from starting.
 
 use crate::config::ConfigFileError;
 use brookstack_balancer::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the proxy could not start. Each text is one line for standard error.
+/// The reason why the proxy could not start. Each message is one line for standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// The asynchronous runtime could not be built.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal could not be caught.
+    /// The handler of a signal could not be installed.
     #[error("{name}: {source}")]
     Signal {
         /// The signal's name.
         name: &'static str,
-        /// Why it could not be caught.
+        /// The cause.
         source: io::Error,
     },
     /// The configuration file cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigFileError),
-    /// The address for clients could not be bound.
+    /// The listen address could not be bound.
     #[error("listen: expected a free address, got {address}: {source}")]
     Listen {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// Why it could not be bound.
+        /// The cause.
         source: io::Error,
     },
-    /// The balancer rejected its settings.
+    /// The balancer rejected the settings.
     #[error("settings.{0}")]
     Settings(#[source] ConfigError),
 }
