--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -129,7 +129,7 @@
 fn max_descriptors(process_limits: &Key) -> Result<usize, ConfigFileError> {
     let key = process_limits.get("sockets");
     let enough = Some(key.count()?).filter(|count| *count >= MIN_DESCRIPTORS);
-    Ok(key.want(enough, "at least 64")? as usize)
+    Ok(key.want(enough, "at least 64 file descriptors")? as usize)
 }
 
 fn memory_limit_bytes(process_limits: &Key) -> Result<usize, ConfigFileError> {
--- a/crates/proxy/src/config/document.rs
+++ b/crates/proxy/src/config/document.rs
@@ -30,7 +30,7 @@
     type Value = ConfigDocument;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("an object")
+        f.write_str("a JSON object with the configuration of the proxy")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut members: A) -> Result<ConfigDocument, A::Error> {
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -11,10 +11,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The environment variable that names the file is not set.
-    #[error("{CONFIG_VARIABLE}: missing, expected a file name")]
+    #[error(
+        "{CONFIG_VARIABLE}: environment variable not set, \
+         expected the path of the configuration file"
+    )]
     MissingVariable,
     /// The file cannot be read.
-    #[error("{CONFIG_VARIABLE}: expected a readable file, got {}: {source}", .path.display())]
+    #[error(
+        "{CONFIG_VARIABLE}: expected a readable configuration file, got {}: {source}",
+        .path.display()
+    )]
     Unreadable {
         /// The path of the file.
         path: PathBuf,
@@ -22,7 +28,7 @@
         source: io::Error,
     },
     /// The file is not JSON.
-    #[error("{CONFIG_VARIABLE}: expected JSON in {}: {source}", .path.display())]
+    #[error("{CONFIG_VARIABLE}: expected valid JSON in {}: {source}", .path.display())]
     NotJson {
         /// The path of the file.
         path: PathBuf,
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -24,7 +24,10 @@
         match config::load() {
             Ok(newer) => apply(&running, &newer, &discovery),
             Err(error) => {
-                tracing::warn!("configuration not reloaded, it stays as it was: {error}");
+                tracing::warn!(
+                    "reloading the configuration failed, \
+                     the previous configuration stays in effect: {error}"
+                );
             }
         }
     }
@@ -39,7 +42,7 @@
     } else {
         tracing::info!(
             "configuration reloaded, discovery at {address}; \
-             not taken up before a restart: {waiting_keys}"
+             changed values that take effect only after a restart: {waiting_keys}"
         );
     }
     discovery.send_if_modified(|current| {
--- a/crates/proxy/src/server/connection_task.rs
+++ b/crates/proxy/src/server/connection_task.rs
@@ -123,7 +123,7 @@
             ServeEnd::Aborted => return,
         };
         if let Err(error) = &result {
-            tracing::debug!("client connection: {error}");
+            tracing::debug!("closing a client connection after an error: {error}");
         }
         let needs_lingering_close =
             connection.last_request_rejected() || result.is_err() || socket.has_discarded_bytes();
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -50,7 +50,10 @@
                 accepted = listener.accept(), if !is_full => match accepted {
                     Ok((stream, _)) => self.clone().spawn_connection(stream),
                     Err(error) => {
-                        tracing::warn!("accept: {error}");
+                        tracing::warn!(
+                            "accepting a client connection failed, \
+                             retrying in {ACCEPT_RETRY_DELAY:?}: {error}"
+                        );
                         self.connections.evict_longest_idle(self.clock.now());
                         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
--- a/crates/proxy/src/server/request_handler.rs
+++ b/crates/proxy/src/server/request_handler.rs
@@ -60,7 +60,7 @@
             return Err(RequestError::DuplicateCorrelationId);
         }
         let id = RequestId(server.next_id());
-        tracing::debug!(request = id.0, ?correlation_id, "request read");
+        tracing::debug!(request = id.0, ?correlation_id, "complete request received");
         Ok(RequestGuard {
             id,
             correlation_id,
--- a/crates/proxy/src/server/shutdown.rs
+++ b/crates/proxy/src/server/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: computes its deadlines, drains the accept queue and closes the open
 //! connections.
 
-use super::Server;
+use super::{Server, OVERDUE_CHECK_INTERVAL};
 use crate::clock::duration;
 use brookstack_balancer::{Micros, Time};
 use std::io::ErrorKind;
@@ -104,7 +104,10 @@
             match stream {
                 Ok(stream) => self.clone().spawn_connection(stream),
                 Err(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!(
+                        "accepting a client connection failed during the shutdown, \
+                         retrying within {OVERDUE_CHECK_INTERVAL:?}: {error}"
+                    );
                     break;
                 }
             }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -227,7 +227,10 @@
     let driver_task = tokio::task::spawn_local(driver.run(events));
     tokio::task::spawn_local(async move {
         if let Err(error) = driver_task.await {
-            tracing::error!("the driver ended: {error}");
+            tracing::error!(
+                "the load-balancing driver failed; until a restart the proxy fails all requests \
+                 and reports that it is not ready: {error}"
+            );
         }
         status.serving.set(false);
     });
--- a/crates/proxy/src/startup/error.rs
+++ b/crates/proxy/src/startup/error.rs
@@ -9,10 +9,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// The asynchronous runtime could not be built.
-    #[error("runtime: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The handler of a signal could not be installed.
-    #[error("{name}: {source}")]
+    #[error("cannot install the handler for {name}: {source}")]
     Signal {
         /// The signal's name.
         name: &'static str,
@@ -23,7 +23,7 @@
     #[error(transparent)]
     Config(#[from] ConfigFileError),
     /// The listen address could not be bound.
-    #[error("listen: expected a free address, got {address}: {source}")]
+    #[error("listen: expected an address that the proxy can bind, got {address}: {source}")]
     Listen {
         /// The listen address.
         address: SocketAddr,
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -71,7 +71,9 @@
     let proxy = ProxyProcess::spawn_with_descriptor_limit(&config, Some(40));
     proxy.wait_until_ready();
     let clients: Vec<Client> = (0..60).map(|_| Client::connect(proxy.address)).collect();
-    wait_until("an accept has failed", || proxy.log().contains("accept: "));
+    wait_until("an accept has failed", || {
+        proxy.log().contains("accepting a client connection failed")
+    });
     drop(clients);
     for _ in 0..5 {
         let response = send_request(&proxy, &request("read", 20_000));
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -24,7 +24,7 @@
     assert_served_by(&proxy, b"b");
     let log = proxy.log();
     assert!(
-        log.contains("not taken up before a restart: limits.sockets"),
+        log.contains("take effect only after a restart: limits.sockets"),
         "{log}"
     );
     wait_until("the connection to the first discovery is closed", || {
@@ -51,7 +51,12 @@
 }
 
 fn assert_reload_is_rejected(proxy: &ProxyProcess, config: &str) {
-    let rejections = || proxy.log().matches("stays as it was").count();
+    let rejections = || {
+        proxy
+            .log()
+            .matches("reloading the configuration failed")
+            .count()
+    };
     let before = rejections();
     proxy.reload(config);
     wait_until("the invalid file is rejected", || rejections() > before);
--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -68,7 +68,10 @@
     });
     if limits.configured == limits.enforced {
         let log = proxy.log();
-        assert!(!log.contains("accept: "), "accepted over the limit: {log}");
+        assert!(
+            !log.contains("accepting a client connection failed"),
+            "accepted over the limit: {log}"
+        );
     }
 }
 
