--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -9,20 +9,20 @@
 use tokio::sync::watch;
 
 /// The key whose new value takes effect in a running proxy.
-const RELOADED_KEY: &str = "discovery";
+const RELOADABLE_KEY: &str = "discovery";
 
 /// Reloads the configuration on each SIGHUP and sends the address of discovery if it has changed.
 /// An invalid file changes nothing.
 ///
 /// `running` is the configuration document that the proxy was started with.
-pub async fn reload_at_hangup(
+pub async fn reload_on_sighup(
     mut hangup: Signal,
     running: Value,
     discovery: watch::Sender<SocketAddr>,
 ) {
     while hangup.recv().await.is_some() {
         match config::load() {
-            Ok(newer) => apply(&running, &newer, &discovery),
+            Ok(reloaded) => apply(&running, &reloaded, &discovery),
             Err(error) => {
                 tracing::warn!(
                     "reloading the configuration failed, \
@@ -34,29 +34,29 @@
 }
 
 /// Applies a reloaded configuration and logs the changed keys that require a restart.
-fn apply(running: &Value, newer: &Config, discovery: &watch::Sender<SocketAddr>) {
-    let address = newer.discovery;
-    let waiting_keys = keys_waiting_for_restart(running, &newer.document).join(", ");
-    if waiting_keys.is_empty() {
+fn apply(running: &Value, reloaded: &Config, discovery: &watch::Sender<SocketAddr>) {
+    let address = reloaded.discovery;
+    let restart_keys = keys_requiring_restart(running, &reloaded.document).join(", ");
+    if restart_keys.is_empty() {
         tracing::info!("configuration reloaded, discovery at {address}");
     } else {
         tracing::info!(
             "configuration reloaded, discovery at {address}; \
-             changed values that take effect only after a restart: {waiting_keys}"
+             changed values that take effect only after a restart: {restart_keys}"
         );
     }
     discovery.send_if_modified(|current| {
-        let is_new = *current != address;
+        let has_changed = *current != address;
         *current = address;
-        is_new
+        has_changed
     });
 }
 
 /// Returns the paths of the changed values that take effect only at the next start.
-fn keys_waiting_for_restart(running: &Value, newer: &Value) -> Vec<String> {
+fn keys_requiring_restart(running: &Value, reloaded: &Value) -> Vec<String> {
     let mut paths = Vec::new();
-    collect_differences(String::new(), running, newer, &mut paths);
-    paths.retain(|path| path != RELOADED_KEY);
+    collect_differences(String::new(), running, reloaded, &mut paths);
+    paths.retain(|path| path != RELOADABLE_KEY);
     paths
 }
 
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -40,7 +40,7 @@
 use tokio::time::MissedTickBehavior;
 
 /// The interval at which connections are checked for timeouts.
-const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The part of the configuration that concerns clients.
 pub struct ServerConfig {
@@ -109,11 +109,11 @@
         listener: TcpListener,
         shutdown_signal: impl Future<Output = ()>,
     ) {
-        let mut overdue_check = tokio::time::interval(OVERDUE_CHECK_INTERVAL);
-        overdue_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        self.accept_until_shutdown(&listener, shutdown_signal, &mut overdue_check)
+        let mut timeout_check = tokio::time::interval(TIMEOUT_CHECK_INTERVAL);
+        timeout_check.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        self.accept_until_shutdown(&listener, shutdown_signal, &mut timeout_check)
             .await;
-        self.drain(listener, &mut overdue_check).await;
+        self.drain(listener, &mut timeout_check).await;
     }
 
     /// Returns an identifier that no connection and no request of this server has had.
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -149,12 +149,13 @@
 
     /// Whether a connection that waits for a request may be evicted in favour of a new connection.
     pub(super) fn may_be_evicted(&self, now: Time) -> bool {
-        let has_settled = self.has_served_request.get() || now - self.opened_at >= MIN_EVICTION_AGE;
-        has_settled && self.close_requested_at.get().is_none()
+        let had_time_for_request =
+            self.has_served_request.get() || now - self.opened_at >= MIN_EVICTION_AGE;
+        had_time_for_request && self.close_requested_at.get().is_none()
     }
 
     /// Whether the connection has waited for the head of a request beyond the timeout.
-    pub(super) fn is_overdue(&self, now: Time) -> bool {
+    pub(super) fn head_timed_out(&self, now: Time) -> bool {
         let ConnectionPhase::AwaitingHead { since } = self.phase.get() else {
             return false;
         };
--- a/crates/proxy/src/server/client_socket/tests.rs
+++ b/crates/proxy/src/server/client_socket/tests.rs
@@ -18,7 +18,7 @@
 /// than the read-ahead limit. The runtime does not poll its sockets between the disconnect and the
 /// check, so a check that relied on the runtime would miss the disconnect.
 #[tokio::test]
-async fn a_disconnect_is_seen_before_the_runtime_has_seen_it() {
+async fn a_disconnect_is_detected_before_the_runtime_reports_it() {
     for (sent_bytes, reset) in [
         (0, false),
         (0, true),
@@ -49,18 +49,18 @@
             presence.has_disconnected(),
             "disconnect not detected after {sent_bytes} bytes, reset {reset}"
         );
-        poll_disconnected_now(&socket).await;
+        wait_until_poll_disconnected_is_ready(&socket).await;
     }
 }
 
 /// Waits until `poll_disconnected` is ready. The task that polls must detect the disconnect even if
 /// `has_disconnected` has already read the end of the stream.
-async fn poll_disconnected_now(socket: &ClientSocket) {
+async fn wait_until_poll_disconnected_is_ready(socket: &ClientSocket) {
     std::future::poll_fn(|cx| socket.poll_disconnected(cx)).await;
 }
 
 #[tokio::test]
-async fn bytes_read_while_checking_for_a_disconnect_are_read_later() {
+async fn bytes_read_while_checking_for_a_disconnect_are_returned_by_later_reads() {
     let (mut client, mut socket) = connect().await;
     let presence = socket.presence();
     client.write_all(b"one").expect("bytes written");
--- a/crates/proxy/src/server/connection_table.rs
+++ b/crates/proxy/src/server/connection_table.rs
@@ -50,8 +50,8 @@
     }
 
     /// Asks each connection that has waited too long for the head of a request to close.
-    pub(super) fn close_overdue(&self, now: Time) {
-        self.close_where(now, |connection| connection.is_overdue(now));
+    pub(super) fn close_timed_out(&self, now: Time) {
+        self.close_where(now, |connection| connection.head_timed_out(now));
     }
 
     /// Asks each connection that matches the predicate to close.
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -27,7 +27,7 @@
         self: &Rc<Self>,
         listener: &TcpListener,
         shutdown_signal: impl Future<Output = ()>,
-        overdue_check: &mut Interval,
+        timeout_check: &mut Interval,
     ) {
         tokio::pin!(shutdown_signal);
         let accept_end = tokio::time::sleep(Duration::MAX);
@@ -45,7 +45,7 @@
                     accept_end.as_mut().reset(Instant::now() + SHUTDOWN_ACCEPT_PERIOD);
                 }
                 () = &mut accept_end, if is_shutting_down => return,
-                _ = overdue_check.tick() => self.connections.close_overdue(self.clock.now()),
+                _ = timeout_check.tick() => self.connections.close_timed_out(self.clock.now()),
                 () = self.connections.connection_closed() => {}
                 accepted = listener.accept(), if !is_full => match accepted {
                     Ok((stream, _)) => self.clone().spawn_connection(stream),
--- a/crates/proxy/src/server/shutdown.rs
+++ b/crates/proxy/src/server/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: computes its deadlines, drains the accept queue and closes the open
 //! connections.
 
-use super::{Server, OVERDUE_CHECK_INTERVAL};
+use super::{Server, TIMEOUT_CHECK_INTERVAL};
 use crate::clock::duration;
 use brookstack_balancer::{Micros, Time};
 use std::io::ErrorKind;
@@ -42,7 +42,7 @@
     }
 
     /// Whether it is too late for a connection to send its first request.
-    fn is_first_request_late(&self, now: Time) -> bool {
+    fn is_first_request_period_over(&self, now: Time) -> bool {
         now - self.began_at >= FIRST_REQUEST_PERIOD
     }
 }
@@ -54,7 +54,7 @@
     pub(super) async fn drain(
         self: &Rc<Self>,
         listener: TcpListener,
-        overdue_check: &mut Interval,
+        timeout_check: &mut Interval,
     ) {
         let mut listener = listener.into_std().ok();
         // Requests that arrived before the shutdown signal keep their full time. Later requests
@@ -67,9 +67,9 @@
             if is_drained || Instant::now() >= drain_deadline {
                 return;
             }
-            self.close_between_requests();
+            self.close_idle_connections();
             tokio::select! {
-                _ = overdue_check.tick() => self.connections.close_overdue(self.clock.now()),
+                _ = timeout_check.tick() => self.connections.close_timed_out(self.clock.now()),
                 () = self.connections.connection_closed() => {}
             }
         }
@@ -77,14 +77,15 @@
 
     /// Asks each connection to close that waits for the head of a request, except for connections
     /// that may still send their first request.
-    fn close_between_requests(&self) {
+    fn close_idle_connections(&self) {
         let now = self.clock.now();
         let shutdown = self.shutdown.get();
-        let is_first_request_late =
-            shutdown.is_some_and(|shutdown| shutdown.is_first_request_late(now));
+        let is_first_request_period_over =
+            shutdown.is_some_and(|shutdown| shutdown.is_first_request_period_over(now));
         self.connections.close_where(now, |connection| {
-            let expects_request = !connection.has_served_request() && !is_first_request_late;
-            connection.is_awaiting_head() && !expects_request
+            let may_send_first_request =
+                !connection.has_served_request() && !is_first_request_period_over;
+            connection.is_awaiting_head() && !may_send_first_request
         });
     }
 
@@ -106,7 +107,7 @@
                 Err(error) => {
                     tracing::warn!(
                         "accepting a client connection failed during the shutdown, \
-                         retrying within {OVERDUE_CHECK_INTERVAL:?}: {error}"
+                         retrying within {TIMEOUT_CHECK_INTERVAL:?}: {error}"
                     );
                     break;
                 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -12,7 +12,7 @@
 use crate::discovery::EndpointWatcher;
 use crate::driver::{Driver, DriverParts, Status};
 use crate::message::DriverEvent;
-use crate::reload::reload_at_hangup;
+use crate::reload::reload_on_sighup;
 use crate::server::{Server, ServerConfig};
 use brookstack_balancer::settings::Names;
 use brookstack_balancer::EndpointUpdate;
@@ -45,7 +45,7 @@
 async fn serve() -> Result<(), StartupError> {
     // The handlers are installed before any slow work, because a signal without a handler
     // terminates the process.
-    let signals = Signals::catch()?;
+    let signals = Signals::install_handlers()?;
     let mut config = config::load()?;
     let listener = bind(config.listen).await?;
 
@@ -57,7 +57,7 @@
     let server = new_server(&shared, &config, names, limits.clients);
     let cached_endpoints = config.cached_endpoints.take();
     let watcher = new_watcher(&shared, &config, cached_endpoints.as_ref());
-    announce_cached_endpoints(&shared, cached_endpoints);
+    send_cached_endpoints(&shared, cached_endpoints);
     let discovery = config.discovery;
     let document = std::mem::take(&mut config.document);
     let driver = new_driver(&shared, config, pool)?;
@@ -65,9 +65,9 @@
     spawn_driver(driver, event_receiver, shared.status);
     let (discovery_sender, discovery_addresses) = watch::channel(discovery);
     tokio::task::spawn_local(watcher.run(discovery_addresses));
-    tokio::task::spawn_local(reload_at_hangup(signals.hangup, document, discovery_sender));
-    let shutdown_requested = first_of(signals.terminate, signals.interrupt);
-    server.run(listener, shutdown_requested).await;
+    tokio::task::spawn_local(reload_on_sighup(signals.hangup, document, discovery_sender));
+    let shutdown_signal = wait_for_shutdown_signal(signals.terminate, signals.interrupt);
+    server.run(listener, shutdown_signal).await;
     Ok(())
 }
 
@@ -79,21 +79,21 @@
 }
 
 impl Signals {
-    fn catch() -> Result<Signals, StartupError> {
+    fn install_handlers() -> Result<Signals, StartupError> {
         Ok(Signals {
-            hangup: catch(SignalKind::hangup(), "SIGHUP")?,
-            terminate: catch(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: catch(SignalKind::interrupt(), "SIGINT")?,
+            hangup: install_handler(SignalKind::hangup(), "SIGHUP")?,
+            terminate: install_handler(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: install_handler(SignalKind::interrupt(), "SIGINT")?,
         })
     }
 }
 
-fn catch(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
+fn install_handler(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
     signal(kind).map_err(|source| StartupError::Signal { name, source })
 }
 
 /// Returns when either signal arrives.
-async fn first_of(mut terminate: Signal, mut interrupt: Signal) {
+async fn wait_for_shutdown_signal(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -197,7 +197,7 @@
 
 /// Sends the cached endpoint list to the driver, or an empty list if there is none. The balancer
 /// acts only on events; without this first event it would never request a poll of discovery.
-fn announce_cached_endpoints(shared: &Shared, cached_endpoints: Option<EndpointList>) {
+fn send_cached_endpoints(shared: &Shared, cached_endpoints: Option<EndpointList>) {
     let endpoints = cached_endpoints.map_or_else(Vec::new, |list| list.endpoints);
     let event = DriverEvent::EndpointsUpdated(EndpointUpdate::Cached, endpoints);
     let _ = shared.events.send(event); // cannot fail: `serve` still holds the receiver
