--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,6 +1,6 @@
 //! The client side of the proxy: accepts connections, reads requests and writes their responses.
 //!
-//! - `listener` accepts connections until a graceful shutdown ends this;
+//! - `listener` accepts connections until shortly after the shutdown signal;
 //! - `shutdown` drains the accept queue and closes the open connections;
 //! - `connection_table` holds the open connections and limits their number;
 //! - `client_connection` holds the state of one connection;
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -42,7 +42,7 @@
     phase: Cell<ConnectionPhase>,
     /// Whether a response to any request on this connection was produced.
     has_served_request: Cell<bool>,
-    /// Whether the latest request on this connection was rejected as invalid.
+    /// Whether the latest request on this connection was rejected before it reached the driver.
     last_request_rejected: Cell<bool>,
     /// When the connection was last asked to close.
     close_requested_at: Cell<Option<Time>>,
@@ -73,7 +73,7 @@
         self.has_served_request.get()
     }
 
-    /// Whether the latest request on this connection was rejected as invalid.
+    /// Whether the latest request on this connection was rejected before it reached the driver.
     pub(super) fn last_request_rejected(&self) -> bool {
         self.last_request_rejected.get()
     }
@@ -94,7 +94,7 @@
     }
 
     /// Records that the response to a request is ready to be written. `rejected` tells whether the
-    /// request was rejected as invalid.
+    /// request was rejected before it reached the driver.
     pub(super) fn finish_request(&self, now: Time, rejected: bool) {
         self.phase.set(ConnectionPhase::AwaitingHead { since: now });
         self.has_served_request.set(true);
--- a/crates/proxy/src/server/connection_task.rs
+++ b/crates/proxy/src/server/connection_task.rs
@@ -22,8 +22,8 @@
 /// The maximum size of a request's head, in bytes. Typical heads are several times smaller.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The maximum number of bytes that a lingering close discards. A lingering close follows the
-/// response to an invalid request. An immediate close would reset the connection if more bytes
-/// arrived, and the client could lose the response.
+/// response to a rejected request, an error of the connection, or discarded bytes. An immediate
+/// close would reset the connection if more bytes arrived, and the client could lose the response.
 const MAX_LINGER_BYTES: usize = 4 * MAX_BODY_BYTES;
 /// The maximum duration of a lingering close. Without a limit, a client that keeps sending would
 /// keep its connection.
--- a/crates/proxy/src/server/request_handler.rs
+++ b/crates/proxy/src/server/request_handler.rs
@@ -226,7 +226,7 @@
     }
 }
 
-/// The response to a request that is rejected as invalid.
+/// The response to a request that is rejected before it reaches the driver.
 fn error_response(error: RequestError) -> ClientResponse {
     let mut response = text_response(error.status(), error.to_string());
     if error == RequestError::BodyMemoryExhausted {
