--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,6 @@
-//! Reloading the configuration at SIGHUP. Only a new address of discovery takes effect; the other
-//! changes are listed in the log and take effect at the next start. The proxy goes on serving from
-//! the endpoint list that it holds.
+//! Reloads the configuration on SIGHUP. Only a changed address of discovery takes effect. All other
+//! changed values are listed in the log and take effect at the next start. The proxy continues to
+//! serve requests with its current endpoint list.
 
 use crate::config::{self, Config};
 use serde_json::Value;
@@ -9,55 +9,58 @@
 use tokio::sync::watch;
 
 /// The key whose new value takes effect in a running proxy.
-const RELOADED_KEY: &str = "discovery";
+const RELOADABLE_KEY: &str = "discovery";
 
-/// Reloads the configuration at each SIGHUP and sends the address of discovery if it has changed. A
-/// file that cannot be used changes nothing.
+/// Reloads the configuration on each SIGHUP and sends the address of discovery if it has changed.
+/// An invalid file changes nothing.
 ///
-/// `running` is the document that the proxy was started with.
-pub async fn reload_at_hangup(
+/// `running` is the configuration document that the proxy was started with.
+pub async fn reload_on_sighup(
     mut hangup: Signal,
     running: Value,
     discovery: watch::Sender<SocketAddr>,
 ) {
     while hangup.recv().await.is_some() {
         match config::load() {
-            Ok(newer) => apply(&running, &newer, &discovery),
+            Ok(reloaded) => apply(&running, &reloaded, &discovery),
             Err(error) => {
-                tracing::warn!("configuration not reloaded, it stays as it was: {error}");
+                tracing::warn!(
+                    "reloading the configuration failed, \
+                     the previous configuration stays in effect: {error}"
+                );
             }
         }
     }
 }
 
-/// Applies a new configuration, and logs the changed keys that wait for a restart.
-fn apply(running: &Value, newer: &Config, discovery: &watch::Sender<SocketAddr>) {
-    let address = newer.discovery;
-    let waiting_keys = keys_waiting_for_restart(running, &newer.document).join(", ");
-    if waiting_keys.is_empty() {
+/// Applies a reloaded configuration and logs the changed keys that require a restart.
+fn apply(running: &Value, reloaded: &Config, discovery: &watch::Sender<SocketAddr>) {
+    let address = reloaded.discovery;
+    let restart_keys = keys_requiring_restart(running, &reloaded.document).join(", ");
+    if restart_keys.is_empty() {
         tracing::info!("configuration reloaded, discovery at {address}");
     } else {
         tracing::info!(
             "configuration reloaded, discovery at {address}; \
-             not taken up before a restart: {waiting_keys}"
+             changed values that take effect only after a restart: {restart_keys}"
         );
     }
     discovery.send_if_modified(|current| {
-        let is_new = *current != address;
+        let has_changed = *current != address;
         *current = address;
-        is_new
+        has_changed
     });
 }
 
-/// The paths of the changed values that take effect only at the next start.
-fn keys_waiting_for_restart(running: &Value, newer: &Value) -> Vec<String> {
+/// Returns the paths of the changed values that take effect only at the next start.
+fn keys_requiring_restart(running: &Value, reloaded: &Value) -> Vec<String> {
     let mut paths = Vec::new();
-    collect_differences(String::new(), running, newer, &mut paths);
-    paths.retain(|path| path != RELOADED_KEY);
+    collect_differences(String::new(), running, reloaded, &mut paths);
+    paths.retain(|path| path != RELOADABLE_KEY);
     paths
 }
 
-/// Adds the paths at which two documents differ. A missing member counts as `null`.
+/// Appends the paths at which two documents differ. A missing member counts as `null`.
 fn collect_differences(path: String, old: &Value, new: &Value, paths: &mut Vec<String>) {
     let (Value::Object(old_members), Value::Object(new_members)) = (old, new) else {
         if old != new {
@@ -76,7 +79,7 @@
     }
 }
 
-/// The path of an object's member, in the form `settings.limits.sockets`.
+/// Returns the path of an object's member, in the form `settings.limits.sockets`.
 fn member_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_string()
--- a/crates/proxy/src/server/shutdown.rs
+++ b/crates/proxy/src/server/shutdown.rs
@@ -1,7 +1,7 @@
-//! Graceful shutdown: its deadlines, the drain of the accept queue, and the close of the open
+//! Graceful shutdown: computes its deadlines, drains the accept queue and closes the open
 //! connections.
 
-use super::Server;
+use super::{Server, TIMEOUT_CHECK_INTERVAL};
 use crate::clock::duration;
 use brookstack_balancer::{Micros, Time};
 use std::io::ErrorKind;
@@ -9,30 +9,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, Interval};
 
-/// The time from SIGTERM until which an accepted connection may send its first request. The process
-/// may be killed before it could respond to a later one.
+/// The time after the shutdown signal during which an accepted connection may send its first
+/// request. The process may be killed before it could respond to a later one.
 const FIRST_REQUEST_PERIOD: Micros = Micros(700_000);
-/// The process may be killed this long after the longest deadline of a request that arrived by
-/// SIGTERM.
+/// The time between the longest deadline of the requests that arrived before the shutdown signal
+/// and the moment at which the process may be killed.
 const KILL_GRACE_PERIOD: Micros = Micros(700_000);
-/// The longest deadline that is taken into account for the time of the kill.
+/// The upper bound on the request deadline from which the time of the kill is computed.
 const KILL_MAX_TIME_LEFT: Micros = Micros(3_000_000);
-/// A request that arrives after SIGTERM is answered this long before the kill, because the response
-/// spends time on the network.
+/// The time between the latest response to a request that arrives after the shutdown signal and the
+/// moment at which the process may be killed. The response needs this time to cross the network.
 const RESPONSE_TRANSIT_MARGIN: Micros = Micros(100_000);
 
 /// A graceful shutdown that has begun.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     began_at: Time,
-    /// The latest deadline of the requests that arrive from now on. The process may be killed a
-    /// moment later.
+    /// The latest deadline of requests that arrive during the shutdown. The process may be killed
+    /// [`RESPONSE_TRANSIT_MARGIN`] later.
     pub(super) response_deadline: Time,
 }
 
 impl Shutdown {
-    /// Begins a shutdown now. `max_time_left` is the longest time that a client waits for a
-    /// response.
+    /// Creates a shutdown that begins at `now`. `max_time_left` is the longest time that a client
+    /// waits for a response.
     pub(super) fn begin(now: Time, max_time_left: Micros) -> Shutdown {
         let kill_at = now + max_time_left.min(KILL_MAX_TIME_LEFT) + KILL_GRACE_PERIOD;
         Shutdown {
@@ -41,22 +41,24 @@
         }
     }
 
-    /// Whether connections may no longer bring their first request.
-    fn is_first_request_late(&self, now: Time) -> bool {
+    /// Whether it is too late for a connection to send its first request.
+    fn is_first_request_period_over(&self, now: Time) -> bool {
         now - self.began_at >= FIRST_REQUEST_PERIOD
     }
 }
 
 impl Server {
-    /// Accepts what is left in the accept queue and closes the connections as their requests are
-    /// answered. Returns when none is left or all deadlines are over.
+    /// Accepts the connections that are left in the accept queue, and closes each connection once
+    /// its requests are answered. Returns when the queue is empty and all connections are closed,
+    /// or when the deadlines of all requests have passed.
     pub(super) async fn drain(
         self: &Rc<Self>,
         listener: TcpListener,
-        overdue_check: &mut Interval,
+        timeout_check: &mut Interval,
     ) {
         let mut listener = listener.into_std().ok();
-        // Requests from before SIGTERM keep their full time; those that arrived later end sooner.
+        // Requests that arrived before the shutdown signal keep their full time. Later requests
+        // have earlier deadlines.
         let drain_deadline =
             Instant::now() + duration(self.rules.max_time_left + KILL_GRACE_PERIOD);
         loop {
@@ -65,31 +67,32 @@
             if is_drained || Instant::now() >= drain_deadline {
                 return;
             }
-            self.close_between_requests();
+            self.close_idle_connections();
             tokio::select! {
-                _ = overdue_check.tick() => self.connections.close_overdue(self.clock.now()),
+                _ = timeout_check.tick() => self.connections.close_timed_out(self.clock.now()),
                 () = self.connections.connection_closed() => {}
             }
         }
     }
 
-    /// Asks those connections to close that wait for a further request, or have waited too long for
-    /// their first.
-    fn close_between_requests(&self) {
+    /// Asks each connection to close that waits for the head of a request, except for connections
+    /// that may still send their first request.
+    fn close_idle_connections(&self) {
         let now = self.clock.now();
         let shutdown = self.shutdown.get();
-        let is_first_request_late =
-            shutdown.is_some_and(|shutdown| shutdown.is_first_request_late(now));
+        let is_first_request_period_over =
+            shutdown.is_some_and(|shutdown| shutdown.is_first_request_period_over(now));
         self.connections.close_where(now, |connection| {
-            let expects_request = !connection.has_served_request() && !is_first_request_late;
-            connection.is_awaiting_head() && !expects_request
+            let may_send_first_request =
+                !connection.has_served_request() && !is_first_request_period_over;
+            connection.is_awaiting_head() && !may_send_first_request
         });
     }
 
-    /// Accepts connections from the kernel's accept queue until the queue is empty or the limit on
-    /// connections is reached. The kernel has completed the handshakes of queued connections, so
-    /// their clients may already send requests, even if the runtime has not noticed them yet.
-    /// Returns whether the queue may hold more.
+    /// Accepts connections from the kernel's accept queue until the queue is empty, the limit on
+    /// connections is reached or an error occurs. The kernel has completed the handshakes of queued
+    /// connections, so their clients may already be sending requests, even if the runtime has not
+    /// been notified of the connections yet. Returns whether the queue may hold more connections.
     fn accept_queued(self: &Rc<Self>, listener: &std::net::TcpListener) -> bool {
         while !self.connections.is_full() {
             let stream = match listener.accept() {
@@ -102,7 +105,10 @@
             match stream {
                 Ok(stream) => self.clone().spawn_connection(stream),
                 Err(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!(
+                        "accepting a client connection failed during the shutdown, \
+                         retrying within {TIMEOUT_CHECK_INTERVAL:?}: {error}"
+                    );
                     break;
                 }
             }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,5 @@
-//! Start-up: catches signals, reads the configuration, and builds and runs the parts of the proxy.
+//! Startup: installs the signal handlers, reads the configuration, and builds and runs the parts of
+//! the proxy.
 
 mod error;
 
@@ -11,7 +12,7 @@
 use crate::discovery::EndpointWatcher;
 use crate::driver::{Driver, DriverParts, Status};
 use crate::message::DriverEvent;
-use crate::reload::reload_at_hangup;
+use crate::reload::reload_on_sighup;
 use crate::server::{Server, ServerConfig};
 use brookstack_balancer::settings::Names;
 use brookstack_balancer::EndpointUpdate;
@@ -23,16 +24,16 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
 
-/// The number of descriptors that are kept for the listener, discovery, signals, standard streams
-/// and the runtime.
+/// The number of file descriptors that are reserved for the listener, discovery, signals, standard
+/// streams and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The bodies of open requests may take one part in this many of the memory limit.
+/// The bodies of open requests may use the memory limit divided by this number.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// Runs the proxy in the calling thread until it has shut down.
+/// Runs the proxy on the calling thread until it has shut down.
 ///
 /// The environment variable `BALANCER_CONFIG` names the configuration file. SIGHUP makes the proxy
-/// read the file again; SIGTERM and SIGINT begin a graceful shutdown.
+/// reload the file. SIGTERM and SIGINT begin a graceful shutdown.
 pub fn run() -> Result<(), StartupError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -42,8 +43,9 @@
 }
 
 async fn serve() -> Result<(), StartupError> {
-    // Signals are caught before anything slow is done, because an uncaught one ends the process.
-    let signals = Signals::catch()?;
+    // The handlers are installed before any slow work, because a signal without a handler
+    // terminates the process.
+    let signals = Signals::install_handlers()?;
     let mut config = config::load()?;
     let listener = bind(config.listen).await?;
 
@@ -55,7 +57,7 @@
     let server = new_server(&shared, &config, names, limits.clients);
     let cached_endpoints = config.cached_endpoints.take();
     let watcher = new_watcher(&shared, &config, cached_endpoints.as_ref());
-    announce_cached_endpoints(&shared, cached_endpoints);
+    send_cached_endpoints(&shared, cached_endpoints);
     let discovery = config.discovery;
     let document = std::mem::take(&mut config.document);
     let driver = new_driver(&shared, config, pool)?;
@@ -63,13 +65,13 @@
     spawn_driver(driver, event_receiver, shared.status);
     let (discovery_sender, discovery_addresses) = watch::channel(discovery);
     tokio::task::spawn_local(watcher.run(discovery_addresses));
-    tokio::task::spawn_local(reload_at_hangup(signals.hangup, document, discovery_sender));
-    let shutdown_requested = first_of(signals.terminate, signals.interrupt);
-    server.run(listener, shutdown_requested).await;
+    tokio::task::spawn_local(reload_on_sighup(signals.hangup, document, discovery_sender));
+    let shutdown_signal = wait_for_shutdown_signal(signals.terminate, signals.interrupt);
+    server.run(listener, shutdown_signal).await;
     Ok(())
 }
 
-/// The signals that the proxy handles.
+/// The streams of the signals that the proxy handles.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -77,21 +79,21 @@
 }
 
 impl Signals {
-    fn catch() -> Result<Signals, StartupError> {
+    fn install_handlers() -> Result<Signals, StartupError> {
         Ok(Signals {
-            hangup: catch(SignalKind::hangup(), "SIGHUP")?,
-            terminate: catch(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: catch(SignalKind::interrupt(), "SIGINT")?,
+            hangup: install_handler(SignalKind::hangup(), "SIGHUP")?,
+            terminate: install_handler(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: install_handler(SignalKind::interrupt(), "SIGINT")?,
         })
     }
 }
 
-fn catch(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
+fn install_handler(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
     signal(kind).map_err(|source| StartupError::Signal { name, source })
 }
 
-/// Returns when the first of two signals comes.
-async fn first_of(mut terminate: Signal, mut interrupt: Signal) {
+/// Returns when either signal arrives.
+async fn wait_for_shutdown_signal(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -104,14 +106,15 @@
         .map_err(|source| StartupError::Listen { address, source })
 }
 
-/// What the parts of the proxy share.
+/// State that is shared by several parts of the proxy.
 struct Shared {
     clock: Clock,
     /// Sends events to the driver.
     events: mpsc::UnboundedSender<DriverEvent>,
-    /// The driver notifies the watch when the balancer requests a poll of discovery.
+    /// The driver uses this to notify the endpoint watcher that the balancer requests a poll of
+    /// discovery.
     poll_requested: Rc<Notify>,
-    /// What the driver reports to the server.
+    /// The status that the driver reports to the server.
     status: Rc<Status>,
 }
 
@@ -126,8 +129,8 @@
     }
 }
 
-/// How many connections may be open. Clients and backends each get half of the descriptors that are
-/// not reserved.
+/// The maximum numbers of open connections. Clients and backends each get half of the file
+/// descriptors that are not reserved.
 struct ConnectionLimits {
     clients: usize,
     backends: usize,
@@ -192,12 +195,12 @@
     }
 }
 
-/// Hands the cached endpoint list to the driver, or an empty one. The balancer acts only on events:
-/// without a first event it would never request a poll of discovery.
-fn announce_cached_endpoints(shared: &Shared, cached_endpoints: Option<EndpointList>) {
+/// Sends the cached endpoint list to the driver, or an empty list if there is none. The balancer
+/// acts only on events; without this first event it would never request a poll of discovery.
+fn send_cached_endpoints(shared: &Shared, cached_endpoints: Option<EndpointList>) {
     let endpoints = cached_endpoints.map_or_else(Vec::new, |list| list.endpoints);
     let event = DriverEvent::EndpointsUpdated(EndpointUpdate::Cached, endpoints);
-    let _ = shared.events.send(event); // does not fail while `serve` holds the receiver
+    let _ = shared.events.send(event); // cannot fail: `serve` still holds the receiver
 }
 
 fn new_driver(
@@ -218,13 +221,16 @@
     driver.map_err(StartupError::Settings)
 }
 
-/// Runs the driver. If the driver ends by a fault, the proxy fails every request. It then reports
-/// that it is not ready, so that no more requests are sent to it.
+/// Runs the driver in its own task. If that task panics, every request fails. The proxy then
+/// reports that it is not ready, so that it receives no more requests.
 fn spawn_driver(driver: Driver, events: mpsc::UnboundedReceiver<DriverEvent>, status: Rc<Status>) {
     let driver_task = tokio::task::spawn_local(driver.run(events));
     tokio::task::spawn_local(async move {
         if let Err(error) = driver_task.await {
-            tracing::error!("the driver ended: {error}");
+            tracing::error!(
+                "the load-balancing driver failed; until a restart the proxy fails all requests \
+                 and reports that it is not ready: {error}"
+            );
         }
         status.serving.set(false);
     });
