--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,15 +1,17 @@
-//! The driver: the one owner of the balancer, of the pending requests and of their attempts.
+//! The driver owns the balancer, the pending requests and their attempts.
 //!
-//! It turns what happens in the proxy into events for the balancer, and carries out the balancer's
+//! It reports what happens in the proxy to the balancer as events, and carries out the balancer's
 //! actions. The balancer alone decides which backend gets a request, whether the request is retried
 //! and whether it is admitted at all.
 //!
-//! - this module puts the parts together, runs the event loop and starts the balancer's ticks;
-//! - `balancer_host` holds the balancer with its timers and the events for its next tick;
-//! - `actions` carries out the balancer's actions, and `balancer_log` writes its log lines;
-//! - `pending_requests` holds the requests, `in_flight_attempt` their attempts under way;
-//! - `upstreams` holds the backends of the endpoint list;
-//! - `wakeup_timer` wakes the event loop when something is due.
+//! - This module runs the event loop and starts the balancer's ticks.
+//! - `balancer_host` holds the balancer, its timers and the events for its next tick.
+//! - `actions` carries out the balancer's actions.
+//! - `balancer_log` writes the balancer's log events to the log.
+//! - `pending_requests` holds the pending requests.
+//! - `in_flight_attempt` starts and aborts the attempts of a request.
+//! - `upstreams` holds the backends on the endpoint list.
+//! - `wakeup_timer` wakes the event loop when a tick or a deadline is due.
 
 use crate::backend_response::AttemptResult;
 use crate::clock::Clock;
@@ -36,38 +38,38 @@
 mod upstreams;
 mod wakeup_timer;
 
-/// The interval at which idle connections are checked.
+/// The interval at which expired idle connections are closed.
 const IDLE_CHECK_INTERVAL: Micros = Micros(1_000_000);
 
-/// What the driver reports to the rest of the program.
+/// The driver's state that other parts of the proxy read.
 #[derive(Default)]
 pub struct Status {
     /// Whether any backend on the endpoint list accepts requests.
     pub serving: Cell<bool>,
 }
 
-/// What a driver is built from.
+/// The configuration and the shared objects that a driver is built from.
 pub struct DriverParts {
-    /// The clock that is shared by the whole proxy.
+    /// The clock that all parts of the proxy share.
     pub clock: Clock,
     /// The balancer's configuration.
     pub balancer_config: Config,
-    /// The seed of the balancer's random numbers.
+    /// The seed of the balancer's random number generator.
     pub seed: u64,
-    /// The largest number of open requests. Those in excess are rejected without the balancer.
+    /// The largest number of pending requests. Requests beyond it are rejected without asking the
+    /// balancer.
     pub max_open_requests: usize,
-    /// The connections to backends.
+    /// The pool of connections to backends.
     pub pool: Rc<ConnectionPool>,
-    /// Where attempts report their end: the sending side of the channel that is given to
-    /// [`Driver::run`].
+    /// The channel on which attempts report their end. [`Driver::run`] gets its receiver.
     pub events: mpsc::UnboundedSender<DriverEvent>,
     /// Notified when the balancer wants the endpoint list to be watched or polled.
     pub poll_requested: Rc<Notify>,
-    /// What the driver reports to the rest of the program.
+    /// The driver's state that other parts of the proxy read.
     pub status: Rc<Status>,
 }
 
-/// Drives the balancer; see the [module](self).
+/// Runs the balancer and carries out its decisions; see the [module](self).
 pub struct Driver {
     clock: Clock,
     max_open_requests: usize,
@@ -75,7 +77,7 @@
     pending: PendingRequests,
     upstreams: Upstreams,
     pool: Rc<ConnectionPool>,
-    /// Where attempts report their end.
+    /// The channel on which attempts report their end.
     event_sender: mpsc::UnboundedSender<DriverEvent>,
     /// Notified when the balancer wants the endpoint list to be watched or polled.
     poll_requested: Rc<Notify>,
@@ -83,7 +85,8 @@
 }
 
 impl Driver {
-    /// A driver without backends and requests. Fails if the balancer refuses its configuration.
+    /// Creates a driver without backends and requests. Fails if the balancer's configuration is
+    /// invalid.
     pub fn new(parts: DriverParts) -> Result<Driver, ConfigError> {
         let tick = parts.balancer_config.tick;
         let grace_period = Micros(RESPONSE_GRACE_TICKS * tick.0);
@@ -100,7 +103,8 @@
         })
     }
 
-    /// Runs the event loop. It does not end, because the driver itself holds a sender of events.
+    /// Runs the event loop. It never returns, because the driver itself holds a sender of the
+    /// channel.
     pub async fn run(mut self, mut incoming: mpsc::UnboundedReceiver<DriverEvent>) {
         let clock = self.clock;
         let mut wakeup_timer = WakeupTimer::new(clock);
@@ -128,13 +132,14 @@
         }
     }
 
-    /// When something is due next without any event.
+    /// The time of the next wake-up if no event arrives before it.
     fn next_wakeup(&self) -> Time {
         let mut next = self.balancer.next_due();
         if let Some(grace_end) = self.pending.next_grace_end() {
             next = next.min(grace_end);
         }
-        // The balancer and the grace periods wait for the next tick; deadlines do not.
+        // The balancer's work and the ends of grace periods are handled in ticks, deadlines at any
+        // time.
         next = next.max(self.balancer.next_tick());
         if let Some(deadline) = self.pending.next_deadline() {
             next = next.min(deadline);
@@ -142,14 +147,14 @@
         next
     }
 
-    /// Does what is due at `now`: ends overdue attempts, and runs the balancer's tick.
+    /// Aborts the attempts whose deadline has passed, and runs the balancer's tick if it is due.
     fn handle_time(&mut self, now: Time) {
         self.pending.expire_deadlines(now, &mut self.balancer);
         if now >= self.balancer.next_tick() {
             self.run_tick(now);
-            // This comes after the tick: a late wake-up brings deadlines and the tick at the same
-            // moment, and the balancer responds in that tick to a request which had less than a
-            // tick left.
+            // Overdue requests are failed after the tick, not before it. After a late wake-up, a
+            // deadline and the tick are due at the same time. If the request had less than a tick
+            // left, the balancer responds to it in that tick.
             self.fail_overdue(now);
         }
     }
@@ -159,8 +164,8 @@
         tokio::task::spawn_local(async move { pool.close_expired().await });
     }
 
-    /// Handles an event as far as it cannot wait for the balancer's tick: a successful response
-    /// goes to its client at once.
+    /// Handles the part of an event that cannot wait for the balancer's tick. For example, a
+    /// successful response is sent to its client immediately.
     fn handle_event(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::RequestArrived(incoming) => self.accept_request(incoming),
@@ -174,7 +179,7 @@
 
     fn accept_request(&mut self, incoming: IncomingRequest) {
         if self.pending.len() >= self.max_open_requests {
-            // The request reaches neither the balancer nor a backend.
+            // The request is passed to neither the balancer nor a backend.
             let retry_after = self.balancer.retry_after();
             let _ = incoming.reply.send(FinalResponse::Rejected(retry_after));
             return;
@@ -237,19 +242,22 @@
             .report(Event::EndpointsUpdated { update, endpoints });
     }
 
-    /// Fails the requests whose grace period after the deadline is over. This is a safety net
-    /// against a balancer that never responds. The requests are failed and not rejected, because
-    /// only the balancer knows whether they may have been executed.
+    /// Fails the requests whose grace period after the deadline has ended. This protects clients
+    /// from a balancer that never responds. The requests are failed and not rejected, because only
+    /// the balancer knows whether they may have been executed.
     fn fail_overdue(&mut self, now: Time) {
         while let Some(request) = self.pending.pop_overdue(now) {
-            tracing::error!("request {} had no answer at its deadline", request.0);
+            tracing::error!(
+                "the balancer did not respond to request {} by its deadline: failing the request",
+                request.0
+            );
             self.balancer.report(Event::ClientDisconnected { request });
             self.respond(request, FinalResponse::Failed);
         }
     }
 
-    /// The balancer's tick: it handles everything that has come in since the last one. The actions
-    /// of an event are carried out before the balancer handles the next event.
+    /// Runs the balancer's tick, which handles the events reported since the last tick. The actions
+    /// for an event are carried out before the balancer handles the next event.
     fn run_tick(&mut self, now: Time) {
         let events = self.balancer.start_tick(now);
         if events.is_empty() {
@@ -270,20 +278,21 @@
         self.pending.drop_finished();
     }
 
-    /// Counts the time that a new request has left from this tick. Otherwise the balancer would
-    /// take the deadline to be later by the time that the request has waited for the tick.
+    /// Sets the time left of a new request to the time from this tick to its deadline. With the
+    /// time left at its arrival, the balancer would assume a deadline that is too late by the time
+    /// for which the request waited for the tick.
     fn refresh_time_left(&self, now: Time, event: &mut Event) {
         if let Event::Request(arrival) = event {
             arrival.time_left = self.pending.time_left(arrival.request, now);
         }
     }
 
-    /// Restarts the balancer after a panic, from the endpoint list as it is. The pending requests
-    /// fail, because the new balancer does not know them. The panic hook has reported the panic
-    /// itself.
+    /// Restarts the balancer after a panic, with the current endpoint list. The pending requests
+    /// are failed, because the new balancer does not know them. The panic hook has already reported
+    /// the panic itself.
     fn restart_balancer(&mut self) {
         tracing::error!(
-            "the balancer panicked; it starts anew, {} requests fail",
+            "the balancer panicked: restarting it and failing all {} pending requests",
             self.pending.len()
         );
         self.balancer.restart(self.upstreams.endpoints());
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -1,5 +1,5 @@
 //! Carries out the balancer's actions: starts and cancels attempts, responds to clients, sets
-//! timers and limits, and writes to the log.
+//! timers and the limit on idle connections, requests polls of discovery, and writes to the log.
 
 use super::balancer_log;
 use super::in_flight_attempt::{self, InFlightAttempt};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Carries out one action of the tick at `now`.
+    /// Carries out one action that the balancer requested in the tick at `now`.
     pub(super) fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend } => self.dispatch(now, request, backend),
@@ -31,15 +31,15 @@
         }
     }
 
-    /// Sends a final response. The clock is read anew because a tick with many responses may take
-    /// a while.
+    /// Sends a final response. Reads the clock instead of using the time of the tick, because a
+    /// tick with many responses may take a while.
     pub(super) fn respond(&mut self, request: RequestId, response: FinalResponse) {
         let now = self.clock.now();
         self.pending
             .respond(request, response, now, &mut self.balancer);
     }
 
-    /// Starts an attempt, or reports at once that it was not sent.
+    /// Starts an attempt. If it may not be sent any more, reports that to the balancer instead.
     pub(super) fn dispatch(&mut self, now: Time, request: RequestId, backend: BackendId) {
         let Some(pending) = self.pending.get_mut(request) else {
             return;
@@ -48,8 +48,8 @@
             request,
             attempt: pending.next_attempt_number(),
         };
-        // Since the balancer's decision the request may have been settled, or the backend may have
-        // started to drain or been removed.
+        // After the balancer's decision, the request may have been settled, or the backend may
+        // have started to drain or been removed.
         let settled = !pending.is_owed_response();
         let may_send = !settled && pending.deadline > now;
         match self.upstreams.accepting(backend) {
@@ -64,14 +64,16 @@
         }
     }
 
-    /// If all sockets are taken, closes an idle connection to any backend, so that the next attempt
-    /// can connect.
+    /// If all sockets are in use, closes an idle connection to any backend, so that the next
+    /// attempt can connect.
     fn free_socket_if_full(&self) {
         if !self.pool.is_full() {
             return;
         }
         if let Some(address) = self.pool.close_idle(1) {
-            tracing::debug!("sockets are short: closed a connection to {address}");
+            tracing::debug!(
+                "all backend sockets are in use: closed an idle connection to {address} to free one"
+            );
         }
     }
 
--- a/crates/proxy/src/driver/balancer_host.rs
+++ b/crates/proxy/src/driver/balancer_host.rs
@@ -1,5 +1,5 @@
-//! Hosts the balancer: collects the events for its next tick, keeps its timers, and restarts it
-//! after a panic.
+//! Collects the events for the balancer's next tick, keeps its timers, and restarts it after a
+//! panic.
 
 use brookstack_balancer::{
     Action, Balancer, Config, ConfigError, Endpoint, EndpointUpdate, Event, Micros, RequestId,
@@ -7,26 +7,27 @@
 };
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The balancer panicked while it handled an event.
+/// The error for a balancer that panicked while it handled an event.
 #[derive(Debug, thiserror::Error)]
 #[error("the balancer panicked")]
 pub struct BalancerPanicked;
 
-/// The balancer, which handles events once a tick, with all that it needs between two ticks.
+/// The balancer, the events for its next tick and its timers. The balancer handles events once per
+/// tick.
 pub struct BalancerHost {
     config: Config,
-    /// The seed of the balancer's random numbers; each restart uses another one.
+    /// The seed of the balancer's random number generator. Each restart uses a different seed.
     seed: u64,
     balancer: Balancer,
     timers: TimerQueue,
     /// The events for the next tick, in the order in which they were reported.
     events: Vec<Event>,
-    /// The next tick starts at this time or later.
+    /// The earliest time at which the next tick may start.
     next_tick: Time,
 }
 
 impl BalancerHost {
-    /// Starts a balancer. Fails if the balancer refuses the configuration.
+    /// Creates a balancer. Fails if the configuration is invalid.
     pub fn new(config: Config, seed: u64) -> Result<BalancerHost, ConfigError> {
         Ok(BalancerHost {
             balancer: Balancer::new(config.clone(), seed)?,
@@ -43,17 +44,18 @@
         self.events.push(event);
     }
 
-    /// Sets a timer, whose event is part of the first tick after it has expired.
+    /// Sets a timer. The first tick after it expires includes its event.
     pub fn set_timer(&mut self, expires_at: Time, token: TimerToken) {
         self.timers.set(expires_at, token);
     }
 
-    /// The earliest time of the next tick.
+    /// The earliest time at which the next tick may start.
     pub fn next_tick(&self) -> Time {
         self.next_tick
     }
 
-    /// When the balancer next has something to handle if no more events are reported.
+    /// The time at which the balancer next has an event to handle if no more events are reported:
+    /// the next tick if there are events, otherwise the next expiry of a timer.
     pub fn next_due(&self) -> Time {
         if self.events.is_empty() {
             self.timers.next_expiry().unwrap_or(Time::NEVER)
@@ -62,26 +64,27 @@
         }
     }
 
-    /// The time after which a client may retry a request that is rejected now.
+    /// The time after which a client may retry if its request is rejected now.
     pub fn retry_after(&self) -> Micros {
         self.balancer.retry_after()
     }
 
-    /// When the first byte of a request's next attempt must have been sent, for attempts that are
-    /// safe only until then.
+    /// The time before which the first byte of a request's newest attempt must be sent, or `None`
+    /// if there is no such limit. After that time the attempt is not safe, because backends may
+    /// have forgotten the request's idempotency key.
     pub fn send_by(&self, request: RequestId) -> Option<Time> {
         self.balancer.send_by(request)
     }
 
-    /// Starts a tick: takes the reported events, followed by those of the expired timers. Without
-    /// any event there is no tick, and the time of the next one stays.
+    /// Starts a tick: takes the reported events, followed by the events of expired timers. If there
+    /// are no events, no tick starts and the time of the next tick does not change.
     pub fn start_tick(&mut self, now: Time) -> Vec<Event> {
         while let Some(token) = self.timers.pop_expired(now) {
             self.events.push(Event::Timer { token });
         }
         if !self.events.is_empty() {
-            // Ticks start at multiples of their length. If each were counted from the start of the
-            // one before it, every late wake-up would delay all ticks that follow.
+            // Ticks start at multiples of the tick length. If the next tick were scheduled relative
+            // to the start of this one, every late wake-up would delay all later ticks.
             let tick = self.config.tick;
             let started_at = Time(now.0 - now.0 % tick.0);
             self.next_tick = started_at + tick;
@@ -89,8 +92,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Passes an event of the present tick to the balancer, which adds its actions to `actions`.
-    /// After a panic `actions` holds those that were added before it.
+    /// Passes an event of the current tick to the balancer, which adds its actions to `actions`.
+    /// After a panic, `actions` holds the actions that were added before the panic.
     pub fn handle(
         &mut self,
         now: Time,
@@ -102,14 +105,17 @@
         handled.map_err(|_| BalancerPanicked)
     }
 
-    /// Replaces the balancer after a panic, because its state cannot be trusted any more. The new
-    /// one starts from the given endpoint list, without timers and without earlier events. If the
-    /// configuration is refused, the old balancer goes on.
+    /// Replaces the balancer after a panic, because its state may be inconsistent. The new balancer
+    /// starts with the given endpoint list and without the timers and events of the old one. If the
+    /// configuration is rejected as invalid, the old balancer stays in use.
     pub fn restart(&mut self, endpoints: Vec<Endpoint>) {
         self.seed = self.seed.wrapping_add(1);
         match Balancer::new(self.config.clone(), self.seed) {
             Ok(balancer) => self.balancer = balancer,
-            Err(error) => tracing::error!("the balancer refused its configuration: {error}"),
+            Err(error) => tracing::error!(
+                "could not restart the balancer, so the old one stays in use: \
+                 invalid configuration: {error}"
+            ),
         }
         self.timers.clear();
         self.events.clear();
@@ -119,7 +125,7 @@
         });
     }
 
-    /// The events for the next tick.
+    /// The events that have been reported for the next tick.
     #[cfg(test)]
     pub fn reported_events(&self) -> &[Event] {
         &self.events
--- a/crates/proxy/src/driver/balancer_host/tests.rs
+++ b/crates/proxy/src/driver/balancer_host/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn ticks_start_at_multiples_of_their_length_after_a_late_one() {
+fn after_a_late_tick_the_next_tick_starts_at_a_multiple_of_the_tick_length() {
     let mut host = host();
     let tick = Config::example().tick.0;
     let late = Time(3 * tick + 1);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_restart_drops_timers_and_events_and_begins_with_the_endpoint_list() {
+fn a_restart_drops_timers_and_events_and_reports_the_endpoint_list() {
     let mut host = host();
     host.set_timer(Time(1), TOKEN);
     host.report(Event::ClientDisconnected { request: REQUEST });
--- a/crates/proxy/src/driver/balancer_log.rs
+++ b/crates/proxy/src/driver/balancer_log.rs
@@ -1,10 +1,10 @@
-//! Writes what the balancer reports to the operators' log.
+//! Writes the balancer's log events to the proxy's log.
 
 use super::upstreams::Upstreams;
 use brookstack_balancer::{BackendId, LogEvent, Outcome};
 
-/// Writes one line for an event. A backend is named by its address on the endpoint list, because
-/// operators cannot look up its identifier.
+/// Writes one line for an event. The line shows a backend's address and not its identifier, because
+/// operators cannot look up the identifier.
 pub fn write(event: LogEvent, upstreams: &Upstreams) {
     match event {
         LogEvent::BackendEjected { backend, outcome } => {
@@ -38,7 +38,7 @@
         tracing::info!(
             id,
             ?outcome,
-            "backend ejected; it has left the endpoint list"
+            "backend ejected; it is no longer on the endpoint list, so its address is not known"
         );
     }
 }
--- a/crates/proxy/src/driver/balancer_log/tests.rs
+++ b/crates/proxy/src/driver/balancer_log/tests.rs
@@ -10,7 +10,7 @@
     outcome: Outcome::Reset,
 };
 
-/// The log of a test, as text.
+/// Collects the log output of a test.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -25,7 +25,8 @@
     }
 }
 
-/// The line that is written for an event, from its level on, without the time and the module.
+/// Returns the line that is written for an event, without the time and the module; empty if none is
+/// written.
 fn logged_line(event: LogEvent, upstreams: &Upstreams) -> String {
     let buffer = LogBuffer::default();
     let writer = buffer.clone();
@@ -41,7 +42,7 @@
     text.trim().to_string()
 }
 
-/// The upstreams of an endpoint list with the one backend 7.
+/// The upstreams after backend 7 was listed as ready and then as `state`.
 fn upstreams_with_backend(state: BackendState) -> Upstreams {
     let address = SocketAddr::from(([10, 0, 0, 7], 8080));
     let mut upstreams = Upstreams::default();
@@ -63,16 +64,17 @@
 }
 
 #[test]
-fn an_ejection_of_a_backend_that_has_left_the_list_says_so() {
+fn an_ejection_of_a_removed_backend_is_logged_with_its_id() {
     let upstreams = upstreams_with_backend(BackendState::Removed);
     assert_eq!(
         logged_line(EJECTED, &upstreams),
-        "INFO backend ejected; it has left the endpoint list id=7 outcome=Reset"
+        "INFO backend ejected; it is no longer on the endpoint list, so its address is not known \
+         id=7 outcome=Reset"
     );
 }
 
 #[test]
-fn a_failed_and_an_unanswered_watch_are_told_apart() {
+fn a_failed_watch_and_a_timed_out_watch_are_logged_differently() {
     let upstreams = Upstreams::default();
     assert_eq!(
         logged_line(LogEvent::WatchFailed, &upstreams),
--- a/crates/proxy/src/driver/in_flight_attempt.rs
+++ b/crates/proxy/src/driver/in_flight_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt while it runs in its own task, and the guard that reports its end.
+//! An attempt that runs in its own task, and the guard that reports its end.
 
 use crate::attempt::{Attempt, SendProgress};
 use crate::backend_response::AttemptResult;
@@ -8,24 +8,24 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Why the driver ends an attempt.
+/// Why the driver aborts an attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum AbortReason {
-    /// The balancer cancelled it, or nobody waits for it any more.
+    /// The balancer cancelled the attempt, or its request was settled.
     Cancelled,
     /// The request's deadline has passed.
     DeadlineExceeded,
 }
 
 impl AbortReason {
-    /// The outcome of an attempt that is ended for this reason. An attempt of which no byte was
-    /// sent (`has_started` is false) was not executed.
+    /// The outcome of an attempt that is aborted for this reason. If no byte was sent
+    /// (`has_started` is false), the attempt was not executed.
     fn outcome(self, has_started: bool) -> Outcome {
         match (self, has_started) {
             (AbortReason::Cancelled, true) => Outcome::Cancelled,
             (AbortReason::Cancelled, false) => Outcome::NotSent,
             (AbortReason::DeadlineExceeded, true) => Outcome::TimedOut,
-            // A connection that is not established by the deadline counts as failed.
+            // A connection that was not established by the deadline counts as failed.
             (AbortReason::DeadlineExceeded, false) => Outcome::ConnectFailed,
         }
     }
@@ -33,18 +33,18 @@
 
 /// An attempt whose end has not been reported to the balancer.
 pub struct InFlightAttempt {
-    /// Its id.
+    /// The attempt's identifier.
     pub id: AttemptId,
-    /// When it was dispatched.
+    /// The time at which the balancer dispatched the attempt.
     pub dispatched_at: Time,
-    /// How far its sending has come.
+    /// How much of the request has been sent.
     pub progress: Rc<SendProgress>,
-    /// Its task.
+    /// Aborts the task that runs the attempt.
     pub task: AbortHandle,
 }
 
 impl InFlightAttempt {
-    /// Starts an attempt in a local task, which reports its end to `events`.
+    /// Starts an attempt in a local task that sends the attempt's end to `events`.
     pub fn start(
         id: AttemptId,
         dispatched_at: Time,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The end of the attempt by its own result, as the balancer's event.
+    /// The balancer's event for an attempt that ended with a result.
     pub fn finished(&self, now: Time, result: &AttemptResult, settled: bool) -> Event {
         self.ended(now, result.outcome, settled, result.connected_at)
     }
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Ends the attempt for the driver, and returns its end as the balancer's event.
+    /// Aborts the attempt and returns the balancer's event for its end.
     pub fn abort(self, now: Time, reason: AbortReason, settled: bool) -> Event {
         self.task.abort();
         let outcome = reason.outcome(self.progress.has_started());
@@ -99,7 +99,7 @@
     }
 }
 
-/// The balancer's event for an attempt that ended before it was started.
+/// The balancer's event for an attempt that was dispatched but not started.
 pub fn not_sent(id: AttemptId, settled: bool) -> Event {
     Event::AttemptEnded(AttemptEnd {
         request: id.request,
@@ -111,8 +111,8 @@
     })
 }
 
-/// Reports the end of an attempt in every case. If the task ends without a result, by a panic for
-/// example, the attempt is reported as reset, because the request may have been executed.
+/// Ensures that the end of an attempt is reported. If the task ends without a result, for example
+/// by a panic, the attempt is reported as reset, because the request may have been executed.
 struct AttemptGuard {
     events: mpsc::UnboundedSender<DriverEvent>,
     id: AttemptId,
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are owed a response or have attempts in flight, and their deadlines.
+//! The requests that wait for their response or have attempts in flight, and their deadlines.
 
 use super::balancer_host::BalancerHost;
 use super::in_flight_attempt::{AbortReason, InFlightAttempt};
@@ -9,35 +9,35 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that is owed a response or has attempts in flight.
+/// A request that waits for its response or has attempts in flight.
 pub struct PendingRequest {
-    /// When the client must have its response.
+    /// The time by which the client must have its response.
     pub deadline: Time,
-    /// What is sent to backends.
+    /// The request as it is sent to backends.
     pub forwarded: Rc<ForwardedRequest>,
-    /// Where the final response goes. `None` after the response, or once the client has
+    /// The channel for the final response. `None` after the response was sent or the client has
     /// disconnected.
     reply: Option<oneshot::Sender<FinalResponse>>,
-    /// Its attempts in flight.
+    /// The attempts in flight.
     pub attempts: HashMap<AttemptNumber, InFlightAttempt>,
-    /// How many attempts the balancer has dispatched so far.
+    /// The number of attempts that the balancer has dispatched so far.
     attempt_count: u32,
 }
 
 impl PendingRequest {
-    /// Whether the client waits for a response.
+    /// Whether the client still waits for a response.
     pub fn is_owed_response(&self) -> bool {
         self.reply.is_some()
     }
 
-    /// Sends the final response, if it is still owed.
+    /// Sends the final response, if the client still waits for it.
     pub fn respond(&mut self, response: FinalResponse) {
         if let Some(reply) = self.reply.take() {
             let _ = reply.send(response);
         }
     }
 
-    /// The number of a new attempt.
+    /// Returns the number for a new attempt and increments the count of attempts.
     pub fn next_attempt_number(&mut self) -> AttemptNumber {
         let number = AttemptNumber(self.attempt_count);
         self.attempt_count += 1;
@@ -60,27 +60,27 @@
     }
 }
 
-/// A time at which something is due for a request.
+/// A deadline of a request, or the end of its grace period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueTime {
     at: Time,
     request: RequestId,
 }
 
-/// The pending requests of a proxy.
+/// All pending requests, with their deadlines and grace periods.
 pub struct PendingRequests {
-    /// The time after a deadline for which the balancer may still respond.
+    /// The time after a deadline within which the balancer may still respond.
     grace_period: Micros,
     requests: HashMap<RequestId, PendingRequest>,
     deadlines: BTreeSet<DueTime>,
-    /// The ends of the grace periods of requests that are past their deadline.
+    /// The ends of the grace periods, for requests whose deadline has passed.
     grace_ends: VecDeque<DueTime>,
-    /// Requests that may be dropped after the next tick.
+    /// The requests to drop after the next tick, unless another attempt was dispatched for them.
     finished: Vec<RequestId>,
 }
 
 impl PendingRequests {
-    /// No requests.
+    /// Creates an empty collection.
     pub fn new(grace_period: Micros) -> PendingRequests {
         PendingRequests {
             grace_period,
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Whether no request and no deadline is left.
+    /// Whether there are neither requests nor deadlines.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.deadlines.is_empty()
     }
 
-    /// The number of requests.
+    /// The number of pending requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -118,29 +118,29 @@
         self.requests.insert(incoming.id, pending);
     }
 
-    /// The time until a request's deadline; zero if there is no such request.
+    /// The time until a request's deadline, or zero if the request is not pending.
     pub fn time_left(&self, request: RequestId, now: Time) -> Micros {
         let pending = self.requests.get(&request);
         pending.map_or(Micros(0), |pending| pending.deadline - now)
     }
 
-    /// A request, to be changed.
+    /// A pending request, or `None` if there is none with this id.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&request)
     }
 
-    /// The next deadline.
+    /// The earliest deadline.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// The next end of a grace period.
+    /// The earliest end of a grace period.
     pub fn next_grace_end(&self) -> Option<Time> {
         self.grace_ends.front().map(|grace_end| grace_end.at)
     }
 
-    /// Removes an attempt, if it is still in flight. An attempt has one outcome, so the result that
-    /// it may report after it was cancelled is ignored.
+    /// Removes an attempt if it is still in flight. An attempt has exactly one outcome, so a result
+    /// that it reports after it was cancelled is ignored.
     pub fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         self.requests
             .get_mut(&id.request)?
@@ -148,13 +148,14 @@
             .remove(&id.attempt)
     }
 
-    /// Notes that the client has disconnected. Returns whether it was still owed a response.
+    /// Records that the client has disconnected. Returns whether it still waited for a response.
     pub fn disconnect(&mut self, request: RequestId) -> bool {
         let pending = self.requests.get_mut(&request);
         pending.is_some_and(|pending| pending.reply.take().is_some())
     }
 
-    /// Sends the final response to a request, if it is still owed, and settles it.
+    /// Sends the final response to a request if the client still waits for it, and settles the
+    /// request.
     pub fn respond(
         &mut self,
         request: RequestId,
@@ -168,10 +169,10 @@
         self.settle(request, now, balancer);
     }
 
-    /// Settles a request: nobody waits for its response any more. Attempts that are not completely
-    /// sent are aborted, because a backend starts to execute a request with its last byte. This
-    /// applies even if the configuration does not allow attempts to be cancelled. The balancer
-    /// decides about the other attempts.
+    /// Settles a request: the client does not wait for a response any more. Attempts that are not
+    /// completely sent are aborted, even if the configuration does not allow attempts to be
+    /// cancelled, because a backend starts to execute a request only when it gets the last byte.
+    /// The balancer decides whether to cancel the other attempts.
     pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
         let Some(pending) = self.requests.get_mut(&request) else {
             return;
@@ -180,7 +181,7 @@
         self.mark_if_finished(request);
     }
 
-    /// Cancels an attempt for the balancer.
+    /// Cancels an attempt because the balancer requested it.
     pub fn cancel_attempt(&mut self, id: AttemptId, now: Time, balancer: &mut BalancerHost) {
         let Some(attempt) = self.remove_attempt(id) else {
             return;
@@ -190,8 +191,8 @@
         self.mark_if_finished(id.request);
     }
 
-    /// Ends the attempts in flight of the requests whose deadline has passed. A request that is
-    /// still owed a response gets a grace period, in which the balancer responds to it.
+    /// Aborts the attempts of the requests whose deadline has passed. If the client still waits for
+    /// a response, a grace period starts in which the balancer can respond.
     pub fn expire_deadlines(&mut self, now: Time, balancer: &mut BalancerHost) {
         while self.next_deadline().is_some_and(|at| at <= now) {
             let Some(DueTime { at, request }) = self.deadlines.pop_first() else {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Takes the next request whose grace period has ended without a response.
+    /// Removes and returns a request whose grace period has ended without a response.
     pub fn pop_overdue(&mut self, now: Time) -> Option<RequestId> {
         while self.next_grace_end().is_some_and(|at| at <= now) {
             let DueTime { request, .. } = self.grace_ends.pop_front()?;
@@ -225,9 +226,10 @@
         None
     }
 
-    /// Drops the finished requests, at the end of a tick: only then has the balancer handled the
-    /// events of their end. Before that it may dispatch another attempt, whose end must be reported
-    /// under its own number. Otherwise the balancer would count that attempt as in flight forever.
+    /// Drops the finished requests. This is called at the end of a tick, when the balancer has
+    /// handled the events of their end. Until then it may dispatch another attempt, and the end of
+    /// that attempt must be reported under its own number. Otherwise the balancer would count the
+    /// attempt as in flight forever.
     pub fn drop_finished(&mut self) {
         for request in self.finished.drain(..) {
             let pending = self.requests.get(&request);
@@ -262,7 +264,7 @@
             .is_some_and(PendingRequest::is_owed_response)
     }
 
-    /// Marks a request to be dropped if it is settled and has no attempt in flight.
+    /// Marks a request for removal if it is settled and has no attempts in flight.
     fn mark_if_finished(&mut self, request: RequestId) {
         let pending = self.requests.get(&request);
         if pending.is_some_and(PendingRequest::is_finished) {
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -69,7 +69,7 @@
         self.driver.handle_event(event);
     }
 
-    /// Dispatches the request to the backend, and lets a task of the attempt start to connect.
+    /// Dispatches the request to the backend, and lets the attempt's task run, which would connect.
     async fn dispatch(&mut self) {
         let local = tokio::task::LocalSet::new();
         local
@@ -81,7 +81,8 @@
             .await;
     }
 
-    /// Adds the request's first attempt, as if it had been dispatched and had reached `progress`.
+    /// Adds the request's first attempt, as if it had been dispatched. `progress` tells how much of
+    /// it has been sent.
     fn add_first_attempt(&mut self, progress: Rc<SendProgress>, task: AbortHandle) {
         let dispatched_at = self.driver.clock.now();
         let pending = self.driver.pending.get_mut(REQUEST).expect("pending");
@@ -98,7 +99,8 @@
         pending.attempts.insert(attempt, in_flight);
     }
 
-    /// Attempt, outcome and whether the request is settled, as of the last event for the balancer.
+    /// The attempt number, the outcome and whether the request is settled, from the last event that
+    /// was reported to the balancer.
     fn last_attempt_end(&self) -> (AttemptNumber, Outcome, bool) {
         let last_event = self.driver.balancer.reported_events().last();
         let Some(Event::AttemptEnded(end)) = last_event else {
@@ -108,17 +110,17 @@
     }
 }
 
-/// A listener whose `accept` fails at once while nobody connects.
+/// A listener whose `accept` fails immediately if no connection is waiting.
 fn nonblocking_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.set_nonblocking(true).expect("set");
     listener
 }
 
-/// A backend drains or is removed, and the balancer dispatches a request to it within the same
-/// tick: the attempt ends as not sent, and no connection is opened.
+/// If the balancer dispatches a request to a backend that started to drain or was removed within
+/// the same tick, the attempt must end as not sent without opening a connection.
 #[tokio::test]
-async fn a_dispatch_to_a_backend_that_just_drained_or_left_is_not_sent() {
+async fn a_dispatch_to_a_backend_that_just_drained_or_was_removed_is_not_sent() {
     let listener = nonblocking_listener();
     let address = listener.local_addr().expect("its address");
     for state in [BackendState::Draining, BackendState::Removed] {
@@ -134,8 +136,8 @@
     }
 }
 
-/// The client disconnects and the balancer dispatches the request within the same tick: no
-/// connection is opened.
+/// If the balancer dispatches a request whose client disconnected within the same tick, the attempt
+/// must end as not sent without opening a connection.
 #[tokio::test]
 async fn a_dispatch_for_a_client_that_just_disconnected_is_not_sent() {
     let listener = nonblocking_listener();
@@ -152,11 +154,11 @@
     assert!(listener.accept().is_err(), "connected");
 }
 
-/// A backend starts to execute a request with its last byte. An attempt that is not completely
-/// written when the client disconnects is therefore aborted, even if the settings do not allow
-/// cancellation.
+/// A backend starts to execute a request only when it gets the last byte. If the client disconnects
+/// before an attempt is completely written, the attempt must be aborted, even if the settings do
+/// not allow cancellation.
 #[tokio::test]
-async fn a_client_that_disconnects_ends_attempts_that_are_not_completely_written() {
+async fn a_client_disconnect_aborts_attempts_that_are_not_completely_written() {
     for write_completed in [false, true] {
         let mut config = Config::example();
         config.cancellation_allowed = false;
@@ -177,10 +179,10 @@
     }
 }
 
-/// The balancer may dispatch a hedged request in the very tick in which the response came: that
-/// attempt is the second.
+/// The balancer may dispatch a hedged attempt in the tick in which the response arrived. Its end
+/// must be reported under the second attempt's number, and the response must not wait for the tick.
 #[tokio::test]
-async fn an_attempt_after_the_response_ends_under_its_own_number() {
+async fn an_attempt_after_the_response_is_reported_under_its_own_number() {
     let mut test = TestDriver::new();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
     test.add_first_attempt(Rc::default(), task);
@@ -198,7 +200,7 @@
         .handle_event(DriverEvent::AttemptEnded(id, result));
     assert!(
         matches!(test.response.try_recv(), Ok(FinalResponse::Served(_))),
-        "at once"
+        "the response is sent before the next tick"
     );
     let now = test.driver.clock.now();
     test.driver.dispatch(now, REQUEST, BACKEND);
--- a/crates/proxy/src/driver/upstreams.rs
+++ b/crates/proxy/src/driver/upstreams.rs
@@ -1,4 +1,4 @@
-//! The backends of the endpoint list, each as the process that requests can be sent to.
+//! The backends on the endpoint list, each with its current process.
 
 use crate::discovery::endpoint_list::ResolvedEndpoint;
 use crate::upstream::Upstream;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The process of a backend, if new requests may go to it.
+    /// The process of a backend, if it accepts new requests.
     pub fn accepting(&self, backend: BackendId) -> Option<Rc<Upstream>> {
         self.by_backend
             .get(&backend)
@@ -50,20 +50,20 @@
             .cloned()
     }
 
-    /// The address of a backend, unless it has left the list.
+    /// The address of a backend, or `None` if it is no longer on the list.
     pub fn address(&self, backend: BackendId) -> Option<SocketAddr> {
         let upstream = self.by_backend.get(&backend)?;
         Some(upstream.target.address)
     }
 
-    /// Whether new requests may go to any backend.
+    /// Whether any backend accepts new requests.
     pub fn any_accepting(&self) -> bool {
         self.by_backend
             .values()
             .any(|upstream| upstream.accepts_requests())
     }
 
-    /// The endpoint list as of now.
+    /// The current endpoint list.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.by_backend
             .values()
@@ -72,8 +72,8 @@
     }
 }
 
-/// The known process if the target is still the same, otherwise a new one. A restarted process must
-/// not share connections with the process before it.
+/// Returns `known` if `target` is the same process, otherwise a new `Upstream`. A restarted process
+/// must not share connections with the process before it.
 fn current_process(known: Option<Rc<Upstream>>, target: ResolvedEndpoint) -> Rc<Upstream> {
     match known {
         Some(upstream) if upstream.is_same_process(&target) => upstream,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The entry of the endpoint list for a process, with its state as of now.
+/// The endpoint list's entry for a process, with its current state.
 fn endpoint(upstream: &Upstream) -> Endpoint {
     let state = if upstream.accepts_requests() {
         BackendState::Ready
--- a/crates/proxy/src/driver/wakeup_timer.rs
+++ b/crates/proxy/src/driver/wakeup_timer.rs
@@ -1,20 +1,21 @@
-//! Wakes the event loop at the time when something is due without any event.
+//! Wakes the event loop when a tick or a deadline is due and no event arrives before.
 
 use crate::clock::Clock;
 use brookstack_balancer::Time;
 use std::pin::Pin;
 use tokio::time::Sleep;
 
-/// A timer that is set again only if its time changes or it has expired.
+/// A timer whose underlying `Sleep` is reset only if the expiry time changes or the timer has
+/// expired.
 pub struct WakeupTimer {
     clock: Clock,
     sleep: Pin<Box<Sleep>>,
-    /// The time at which `sleep` ends; `None` if it has to be set again.
+    /// The time at which `sleep` ends, or `None` if it must be reset.
     expires_at: Option<Time>,
 }
 
 impl WakeupTimer {
-    /// A timer that has not been set.
+    /// Creates a timer that has not been set.
     pub fn new(clock: Clock) -> WakeupTimer {
         let now = clock.instant(clock.now());
         WakeupTimer {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Sets the timer. A time that lies more than an hour ahead expires in an hour.
+    /// Sets the timer. If `expires_at` is more than an hour ahead, the timer expires in an hour.
     pub fn set(&mut self, expires_at: Time) {
         if self.expires_at != Some(expires_at) {
             self.expires_at = Some(expires_at);
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Completes when the timer expires. The future may be dropped and called for again.
+    /// Completes when the timer expires. Cancel safe: the future may be dropped, and `expired`
+    /// called again.
     pub async fn expired(&mut self) {
         self.sleep.as_mut().await;
         self.expires_at = None;
