--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to get a request served by one backend, from the choice of a connection to the
+//! One attempt to have a request served by a backend, from the choice of a connection to the
 //! outcome.
 
 use crate::backend_connection::BackendConnection;
@@ -16,27 +16,29 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The times by which an attempt must have reached a certain stage.
+/// The time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// When its first byte must have been sent, for attempts that are safe only until then.
+    /// The time before which the first byte must be sent, or `None` if there is no such limit.
+    /// After that time the attempt is not safe, because backends may have forgotten the request's
+    /// idempotency key.
     pub send_by: Option<Time>,
-    /// When the client must have its response.
+    /// The time by which the client must have its response.
     pub deadline: Time,
 }
 
-/// How far the sending of an attempt has come, for whoever may abort it.
+/// How much of an attempt's request has been sent. The driver reads it when it aborts the attempt.
 #[derive(Default)]
 pub struct SendProgress(RefCell<Option<Rc<StreamProgress>>>);
 
 impl SendProgress {
-    /// Follows the connection on which the attempt is sent.
+    /// Sets the connection on which the attempt is sent.
     pub fn track(&self, progress: Rc<StreamProgress>) {
         *self.0.borrow_mut() = Some(progress);
     }
 
-    /// Whether any byte of the request was handed to the socket. Until then the attempt counts as
-    /// not sent.
+    /// Whether at least one byte of the request was written to the socket. Until then the attempt
+    /// counts as not sent.
     pub fn has_started(&self) -> bool {
         let tracked = self.0.borrow();
         tracked
@@ -44,7 +46,7 @@
             .is_some_and(|progress| progress.write_started.get())
     }
 
-    /// Whether all bytes of the request were handed to the socket. Until then the backend cannot
+    /// Whether all bytes of the request were written to the socket. Until then the backend cannot
     /// execute the request.
     pub fn is_complete(&self) -> bool {
         let tracked = self.0.borrow();
@@ -54,17 +56,17 @@
     }
 }
 
-/// One attempt.
+/// One attempt to have a request served by a backend.
 pub struct Attempt {
-    /// Where its connection comes from and goes back to.
+    /// The pool that provides the connection and gets it back.
     pub pool: Rc<ConnectionPool>,
-    /// The backend.
+    /// The backend's process that the request is sent to.
     pub upstream: Rc<Upstream>,
-    /// The request.
+    /// The request to send.
     pub request: Rc<ForwardedRequest>,
-    /// The times that it must keep.
+    /// The time limits of the attempt.
     pub deadlines: AttemptDeadlines,
-    /// How far it has come, shared with the driver.
+    /// How much of the request has been sent, shared with the driver.
     pub progress: Rc<SendProgress>,
 }
 
@@ -76,7 +78,7 @@
 }
 
 impl Attempt {
-    /// Runs the attempt to its outcome. Dropping the future closes the connection.
+    /// Runs the attempt until it has an outcome. Dropping the future closes the connection.
     pub async fn run(&self) -> AttemptResult {
         loop {
             let acquired = match self.acquire_connection().await {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// A pooled connection if there is one, a new one otherwise.
+    /// Takes a connection from the pool, or opens a new one if the pool has none.
     async fn acquire_connection(&self) -> Result<AcquiredConnection, ConnectError> {
         if let Some(reused) = self.pool.take_idle(&self.upstream).await {
             let ReusedConnection {
@@ -118,17 +120,18 @@
         })
     }
 
-    /// Whether the attempt must not be sent any more. While its connection was established, the
-    /// backend may have started to drain, or the time to send may have passed.
+    /// Whether the attempt must not be sent any more. While the connection was established, the
+    /// backend may have started to drain, or `send_by` may have passed.
     fn is_too_late(&self) -> bool {
         let send_by = self.deadlines.send_by;
         !self.upstream.accepts_requests()
             || send_by.is_some_and(|send_by| self.pool.clock.now() >= send_by)
     }
 
-    /// Sends the request on the connection. Returns `None` if a pooled connection turned out to be
-    /// unusable before the first byte was written: the backend had closed it, or had sent more than
-    /// its last response. Nothing was sent then, and another connection can be used.
+    /// Sends the request on the connection. Returns `None` if a pooled connection was found to be
+    /// unusable before the first byte was written, because the backend had closed it or had sent
+    /// data after its last response. Nothing has been sent then, so the attempt can use another
+    /// connection.
     async fn send(&self, acquired: AcquiredConnection) -> Option<AttemptResult> {
         let AcquiredConnection {
             mut connection,
@@ -154,8 +157,8 @@
     }
 }
 
-/// The outcome of an exchange without a usable response; `None` if nothing was written on a pooled
-/// connection.
+/// The outcome of an exchange without a usable response, or `None` if nothing was written on a
+/// pooled connection.
 fn outcome_without_response(progress: &StreamProgress, is_new: bool) -> Option<Outcome> {
     if !is_new && !progress.write_started.get() {
         return None;
@@ -166,7 +169,7 @@
     if progress.connection_lost.get() {
         return Some(Outcome::Reset);
     }
-    // The backend sent a response that cannot be used, which counts against it like an error.
+    // The backend sent an unusable response, which counts against it like an error response.
     Some(Outcome::Error)
 }
 
--- a/crates/proxy/src/attempt/tests.rs
+++ b/crates/proxy/src/attempt/tests.rs
@@ -8,13 +8,13 @@
 use std::sync::mpsc;
 use std::thread::JoinHandle;
 
-/// A backend that sends a second, unrequested response on its first connection, and then serves
-/// another connection.
+/// A backend that sends a second, unsolicited response on its first connection, and then serves one
+/// request on another connection.
 struct SurplusBackend {
     address: SocketAddr,
     first_response_read: mpsc::Sender<()>,
     surplus_written: mpsc::Receiver<()>,
-    /// Returns the number of bytes that came on the first connection after its first request.
+    /// Returns the number of bytes that arrived on the first connection after its first request.
     thread: JoinHandle<usize>,
 }
 
@@ -35,7 +35,8 @@
             let mut second = listener.accept().expect("another connection").0;
             read_request(&mut second);
             second.write_all(response("2").as_bytes()).expect("written");
-            // A socket that was closed with the surplus unread is reset.
+            // The read fails if the proxy closed the socket without reading the unsolicited
+            // response, because the kernel then resets the connection.
             first.read(&mut [0]).unwrap_or(0)
         });
         SurplusBackend {
@@ -47,10 +48,11 @@
     }
 }
 
-/// Bytes that a backend sends after its response must not become the next response, even if the
-/// runtime has not noticed them yet: here it does not poll its sockets between the two attempts.
+/// Bytes that a backend sends after its response must not be taken for the response to the next
+/// request, even if the runtime has not noticed them yet. In this test the runtime does not poll
+/// its sockets between the two attempts.
 #[tokio::test]
-async fn a_late_surplus_does_not_become_the_next_response() {
+async fn an_unsolicited_response_is_not_taken_for_the_next_response() {
     let backend = SurplusBackend::start();
     let clock = Clock::new();
     let second = Micros(1_000_000);
@@ -72,8 +74,8 @@
         ..
     } = backend;
     let body = |result: AttemptResult| result.response.map(Response::into_body);
-    // The attempts run in a local task, as in the proxy: the runtime goes on running woken local
-    // tasks for a while before it polls its sockets.
+    // The attempts run in a local task, as in the proxy. The runtime runs woken local tasks for a
+    // while before it polls its sockets.
     let attempts = async move {
         let first = body(attempt.run().await);
         first_response_read.send(()).expect("the backend waits");
@@ -90,6 +92,6 @@
     assert_eq!(
         thread.join().expect("no panic"),
         0,
-        "no byte of the second request on the first connection"
+        "no byte of the second request may be sent on the first connection"
     );
 }
--- a/crates/proxy/src/backend_connection.rs
+++ b/crates/proxy/src/backend_connection.rs
@@ -17,47 +17,48 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// The largest head of a response, in bytes.
+/// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The largest response in bytes, including its framing and the 1xx responses before it.
 const MAX_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES + MAX_HEAD_BYTES;
 
-/// Why a connection could not be set up on a connected socket.
+/// HTTP/1.1 could not be set up on a connected socket.
 #[derive(Debug, thiserror::Error)]
-#[error("HTTP handshake with the backend: {0}")]
+#[error("could not set up HTTP on the connection to the backend: {0}")]
 pub struct HandshakeError(#[source] hyper::Error);
 
-/// Why a request got no usable response. The [`StreamProgress`] of the connection tells how much of
-/// the request was sent.
+/// Why a request got no usable response. The [`StreamProgress`] of the connection records how much
+/// of the request was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The request was not sent, or no response head came.
-    #[error("no response: {0}")]
+    /// The request was not sent, or no response head was received.
+    #[error("no response from the backend: {0}")]
     NoResponse(#[source] hyper::Error),
-    /// The response announces a body that is too long.
-    #[error("response body: expected at most {MAX_BODY_BYTES} bytes, got at least {0}")]
+    /// The response announces a body of this many bytes, which exceeds [`MAX_BODY_BYTES`].
+    #[error("the backend announced a response body of {0} bytes; the limit is {MAX_BODY_BYTES}")]
     BodyTooLong(u64),
-    /// The body broke off, was malformed or turned out too long.
-    #[error("response body: {0}")]
+    /// The body was truncated, malformed or longer than [`MAX_BODY_BYTES`].
+    #[error("could not read the backend's response body: {0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
 }
 
-/// A connection that is polled only by the attempt that uses it. Dropping it closes the socket at
-/// once.
+/// A connection that is polled only by the attempt that uses it. Dropping it closes the socket
+/// immediately.
 pub struct BackendConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Connection<TokioIo<TrackedStream>, Full<Bytes>>>>,
-    /// When the connection was established.
+    /// The time at which the connection was established.
     pub established_at: Time,
-    /// How far the current request and its response have come.
+    /// How much of the current request was sent and of its response was read.
     pub progress: Rc<StreamProgress>,
-    /// The connection's future has completed; it must not be polled again.
+    /// Whether the connection's future has completed. It must not be polled again then.
     ended: bool,
     _socket: CountGuard,
 }
 
 impl BackendConnection {
-    /// Sets up HTTP/1.1 on a socket that was connected at that time and that `socket` counts.
+    /// Sets up HTTP/1.1 on a socket that was connected at `established_at`. `socket` counts the
+    /// open socket until the connection is dropped.
     pub async fn handshake(
         stream: TcpStream,
         established_at: Time,
@@ -80,10 +81,10 @@
         })
     }
 
-    /// Sends the request and reads the complete response, polling the connection meanwhile. If the
-    /// connection ends, the exchange ends too, with a result that shows it. The exchange is polled
-    /// before the connection, so that the first poll of the connection already has the request to
-    /// write.
+    /// Sends the request and reads the complete response, and polls the connection while doing so.
+    /// If the connection ends, the exchange completes too: with the response if that is complete,
+    /// otherwise with an error. The exchange is polled before the connection, so that the first
+    /// poll of the connection already has the request to write.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -100,10 +101,10 @@
         .await
     }
 
-    /// Whether the connection can take a request: the backend has not closed it, and the last
-    /// response is complete. The connection is polled once without waiting, because a wait would
-    /// hold back a good response until the deadline. A connection that has ended is not polled
-    /// again.
+    /// Whether the connection can be used for another request: the backend has not closed it, and
+    /// the last response is complete. The connection is polled once without waiting, because
+    /// waiting would delay a good response until the deadline. A connection that has ended is not
+    /// polled again.
     pub async fn is_reusable(&mut self) -> bool {
         if !self.ended {
             self.ended =
@@ -122,13 +123,13 @@
         .await
         .map_err(ExchangeError::NoResponse)?;
     let (head, body) = response.into_parts();
-    // A body that is announced as too long need not be read.
+    // A body whose announced length exceeds the limit is not read at all.
     let announced_bytes = body.size_hint().lower();
     if announced_bytes > MAX_BODY_BYTES as u64 {
         return Err(ExchangeError::BodyTooLong(announced_bytes));
     }
-    // The body is complete before a byte of it is forwarded: a broken response must not reach the
-    // client as a good one.
+    // The complete body is read before any byte of it is forwarded, so that the client does not
+    // take a truncated response for a complete one.
     let body = Limited::new(body, MAX_BODY_BYTES)
         .collect()
         .await
--- a/crates/proxy/src/backend_response.rs
+++ b/crates/proxy/src/backend_response.rs
@@ -1,4 +1,4 @@
-//! What a backend's response means for the attempt that got it.
+//! Classifies a backend's response into the outcome of the attempt.
 
 use crate::forwarded_request::{connection_options, remove_hop_by_hop_headers};
 use brookstack_balancer::{Outcome, Time};
@@ -6,18 +6,20 @@
 use hyper::header::{HeaderMap, HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
 
-/// A backend sets this header to `1` on a 503 or 504 if it did not start to process the request.
+/// A backend sets this header to `1` on a 503 or 504 response if it did not start to process the
+/// request.
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 
-/// How an attempt ended, with the response for the client if there is one.
+/// How an attempt ended, with the response to forward if there is one.
 pub struct AttemptResult {
     /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
     /// The response to forward to the client.
     pub response: Option<Response<Bytes>>,
-    /// The backend rejected the new connection, not just the request.
+    /// Whether the backend rejected the new connection, not just the request.
     pub connection_rejected: bool,
-    /// When the connection was established that brought a response.
+    /// The time at which the connection that the response arrived on was established, or `None` if
+    /// there was no response.
     pub connected_at: Option<Time>,
 }
 
@@ -42,11 +44,11 @@
         }
     }
 
-    /// Classifies a response that was read completely.
+    /// Classifies a complete response.
     pub fn from_response(response: Response<Bytes>) -> AttemptResult {
         match response.status() {
             // If only the end of the connection delimits the body, a truncated response cannot be
-            // told from a complete one.
+            // distinguished from a complete one.
             StatusCode::OK if !is_delimited(response.headers()) => Outcome::Reset.into(),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                 if is_unprocessed(response.headers()) =>
@@ -58,9 +60,9 @@
                     connected_at: None,
                 }
             }
-            // Every backend would respond to this request with a client error, so the client gets
-            // the response. It does not count against the backend, unless it came after the latency
-            // objective. Status 429 is not forwarded, because it would promise the client that the
+            // Every backend would respond to this request with a client error, so the response is
+            // forwarded. It does not count against the backend, unless it arrived after the latency
+            // objective. Status 429 is not forwarded, because it would tell the client that the
             // request was not executed.
             status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
                 AttemptResult::with_response(Outcome::Cancelled, response)
@@ -76,7 +78,7 @@
     response
 }
 
-/// Whether the headers tell where the body ends.
+/// Whether the headers determine where the body ends.
 fn is_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
@@ -87,7 +89,7 @@
         .is_some_and(|value| value.as_bytes() == b"1")
 }
 
-/// Whether the backend announces that it closes the connection after this response.
+/// Whether the backend announces that it will close the connection after this response.
 fn closes_connection(headers: &HeaderMap) -> bool {
     connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -1,5 +1,5 @@
-//! The connections to all backends: how many sockets they take, and which of them wait for their
-//! next request.
+//! The pool of connections to all backends. It limits the number of sockets and the number of idle
+//! connections, and reuses idle connections.
 
 use crate::backend_connection::BackendConnection;
 use crate::clock::{duration, Clock};
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Idle connections are closed after this fraction of the backends' own idle timeout. A request
-/// that is written while the backend closes its connection would end as a reset.
+/// Idle connections are closed after this fraction of the backends' own idle timeout, because a
+/// request that is written while the backend closes the connection would end as a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
-/// The error number for too many open files in the system.
+/// The Linux error number for too many open files in the system.
 const ENFILE: i32 = 23;
-/// The error number for too many open files in the process.
+/// The Linux error number for too many open files in the process.
 const EMFILE: i32 = 24;
 
 /// Why no connection to a backend could be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The proxy is out of sockets. This does not count against the backend.
-    #[error("no socket is free for a connection")]
+    /// The proxy has no free socket. This does not count against the backend.
+    #[error("no free socket for a connection to the backend")]
     NoFreeSocket,
-    /// The backend did not accept the connection, or not in time.
-    #[error("the backend accepted no connection")]
+    /// The backend refused the connection, or did not accept it within the time limit.
+    #[error("could not connect to the backend")]
     Failed,
 }
 
@@ -41,35 +41,35 @@
     }
 }
 
-/// A pooled connection that was taken out of the pool.
+/// An idle connection that was taken from the pool.
 pub struct ReusedConnection {
-    /// When its last request ended.
+    /// The time at which its last request ended.
     pub idle_since: Time,
-    /// The connection.
+    /// The connection, which can take a request.
     pub connection: BackendConnection,
 }
 
-/// The connections to all backends, shared by all attempts.
+/// The pool of connections to all backends, shared by all attempts.
 pub struct ConnectionPool {
     /// The clock for idle times and deadlines.
     pub clock: Clock,
     dial_timeout: Micros,
     idle_timeout: Micros,
-    /// The number of sockets that are open to backends.
+    /// The number of open sockets to backends.
     sockets: Rc<Cell<usize>>,
     max_sockets: usize,
-    /// The number of those sockets that are idle.
+    /// The number of idle connections.
     idle_connections: Rc<Cell<usize>>,
     max_idle: Cell<usize>,
-    /// The upstreams that may hold idle connections, usually a small part of the endpoint list.
+    /// The upstreams that may have idle connections, usually a small part of the endpoint list.
     idle_holders: RefCell<VecDeque<Rc<Upstream>>>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     ///
-    /// `backend_idle_timeout` is the time after which backends close an idle connection;
-    /// `max_sockets` includes idle connections.
+    /// `backend_idle_timeout` is the time after which backends close an idle connection.
+    /// `max_sockets` limits the number of all connections, including idle ones.
     pub fn new(
         clock: Clock,
         dial_timeout: Micros,
@@ -88,20 +88,20 @@
         }
     }
 
-    /// The number of connections that wait for their next request.
+    /// The number of idle connections.
     pub fn idle_connections(&self) -> usize {
         self.idle_connections.get()
     }
 
-    /// Limits the number of idle connections, and closes those in excess.
+    /// Limits the number of idle connections, and closes connections beyond the limit.
     pub fn set_max_idle(&self, max_idle: usize) {
         self.max_idle.set(max_idle);
         let excess = self.idle_connections.get().saturating_sub(max_idle);
         self.close_idle(excess);
     }
 
-    /// Closes `count` idle connections, or all if there are fewer. Returns the backend's address of
-    /// the connection that was closed last.
+    /// Closes `count` idle connections, or all if there are fewer. Returns the backend address of
+    /// the last connection that was closed, or `None` if none was.
     pub fn close_idle(&self, count: usize) -> Option<SocketAddr> {
         let mut remaining = count;
         let mut last_closed = None;
@@ -114,13 +114,14 @@
         last_closed
     }
 
-    /// Whether all sockets are taken: an idle connection has to be closed before another can be
-    /// opened.
+    /// Whether the limit on sockets is reached. Then a connection must be closed before another can
+    /// be opened.
     pub fn is_full(&self) -> bool {
         self.sockets.get() >= self.max_sockets
     }
 
-    /// Takes the pooled connection that was used last, if the backend has not closed it.
+    /// Takes the upstream's most recently used idle connection. Connections that have been idle for
+    /// too long or that the backend has closed are dropped. Returns `None` if there is no other.
     pub async fn take_idle(&self, upstream: &Upstream) -> Option<ReusedConnection> {
         loop {
             let IdleConnection {
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Keeps a connection for the next request, if the upstream still accepts requests and the
-    /// limit allows it; closes it otherwise.
+    /// Keeps a connection for another request if the upstream still accepts requests and the limit
+    /// on idle connections is not reached. Otherwise closes the connection.
     pub fn put_back(
         &self,
         upstream: &Rc<Upstream>,
@@ -181,7 +182,8 @@
     }
 
     /// Closes the connections that have been idle for too long or that the backend has closed. Only
-    /// upstreams that may hold some are visited, and other tasks run between two of them.
+    /// upstreams that may have idle connections are visited. The task yields after each upstream,
+    /// so that other tasks can run.
     pub async fn close_expired(&self) {
         let holders = self.idle_holders.borrow().len();
         for _ in 0..holders {
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Whether a connection has not been idle for too long.
+    /// Whether a connection that became idle at `idle_since` has not been idle for too long.
     fn is_fresh(&self, idle_since: Time) -> bool {
         self.clock.now() - idle_since < self.idle_timeout
     }
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-/// Starts a backend and returns its address. The backend delays the responses to its first `count`
-/// requests until all of them have arrived, so that each has its own connection.
+/// Starts a backend and returns its address. The backend does not respond to its first `count`
+/// requests until all of them have arrived, so that each is sent on its own connection.
 fn start_backend(count: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -33,7 +33,7 @@
     Rc::new(Upstream::new(endpoint))
 }
 
-/// An attempt of a request without headers or body, which has 30 s for its response.
+/// An attempt for a request without headers or body, with a deadline in 30 s.
 fn attempt(pool: &Rc<ConnectionPool>, upstream: &Rc<Upstream>) -> Attempt {
     Attempt {
         pool: pool.clone(),
@@ -47,8 +47,8 @@
     }
 }
 
-/// Of many upstreams only those that hold idle connections are visited, and each of those stays on
-/// the pool's list until it holds none.
+/// The pool must visit only the upstreams that have idle connections, a few of many. Each of them
+/// must stay on the pool's list until it has no idle connections.
 #[tokio::test]
 async fn only_upstreams_with_idle_connections_are_visited() {
     let clock = Clock::new();
@@ -74,7 +74,7 @@
         };
         assert_eq!(idle_and_holders(), (4, 2));
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (4, 2), "they are alive and are kept");
+        assert_eq!(idle_and_holders(), (4, 2), "open connections are kept");
         three.close_to_new_requests();
         pool.close_expired().await;
         assert_eq!(idle_and_holders(), (1, 1));
--- a/crates/proxy/src/count_guard.rs
+++ b/crates/proxy/src/count_guard.rs
@@ -1,13 +1,14 @@
-//! Counts how many of a thing exist, open sockets for example.
+//! A guard that counts live objects, for example open sockets.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts one thing for as long as the guard exists, which belongs to that thing.
+/// Counts one object. The guard is stored with the object that it counts. Dropping the guard
+/// decrements the count.
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
-    /// Adds one to the count until the guard is dropped.
+    /// Increments `count` until the guard is dropped.
     pub fn new(count: &Rc<Cell<usize>>) -> CountGuard {
         count.set(count.get() + 1);
         CountGuard(count.clone())
--- a/crates/proxy/src/test_fixtures.rs
+++ b/crates/proxy/src/test_fixtures.rs
@@ -1,4 +1,4 @@
-//! Values and helpers that the tests of several modules share.
+//! Test values and helper functions that are shared by the tests of several modules.
 
 use crate::discovery::endpoint_list::ResolvedEndpoint;
 use crate::forwarded_request::ForwardedRequest;
@@ -17,7 +17,7 @@
     })
 }
 
-/// An entry of the endpoint list with its address.
+/// An endpoint with the given identifier, state and address.
 pub fn resolved_endpoint(id: u64, state: BackendState, address: SocketAddr) -> ResolvedEndpoint {
     ResolvedEndpoint {
         endpoint: Endpoint {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads a request without a body from the socket of a test backend.
+/// Reads one request without a body, as a test backend.
 pub fn read_request(stream: &mut TcpStream) {
     let mut received = Vec::new();
     while !received.ends_with(b"\r\n\r\n") {
--- a/crates/proxy/src/tracked_stream.rs
+++ b/crates/proxy/src/tracked_stream.rs
@@ -1,4 +1,5 @@
-//! A socket to a backend that records how far the current request and its response have come.
+//! A socket to a backend that records how much of the current request was sent and of its response
+//! was read.
 
 use socket2::SockRef;
 use std::cell::Cell;
@@ -10,22 +11,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What has happened on a connection since the current request was given to it.
+/// How much of the current request was sent and of its response was read, and whether the
+/// connection was lost.
 #[derive(Default)]
 pub struct StreamProgress {
-    /// At least one byte of the request was handed to the socket.
+    /// Whether at least one byte of the request was written to the socket.
     pub write_started: Cell<bool>,
-    /// The last byte of the request was handed to the socket: hyper flushes the socket only after
-    /// its own buffer is empty.
+    /// Whether the last byte of the request was written to the socket. This is set when hyper
+    /// flushes the socket, which it does only after its own buffer is empty.
     pub write_completed: Cell<bool>,
-    /// The peer has closed the connection, or the connection has failed.
+    /// Whether the backend has closed the connection, or the connection has failed.
     pub connection_lost: Cell<bool>,
-    /// The number of bytes of the response that were read so far.
+    /// The number of response bytes that were read so far.
     response_bytes: Cell<usize>,
 }
 
 impl StreamProgress {
-    /// Starts over for the next request on the same connection.
+    /// Resets the progress for the next request on the same connection.
     pub fn reset(&self) {
         self.write_started.set(false);
         self.write_completed.set(false);
@@ -33,19 +35,19 @@
     }
 }
 
-/// A TCP stream to a backend that keeps a [`StreamProgress`]. Backends start to execute a request
-/// with its last byte, so a request that was not handed over completely was not executed.
+/// A TCP stream to a backend that updates a [`StreamProgress`]. A backend starts to execute a
+/// request only when it gets the last byte, so a request that was not written completely was not
+/// executed.
 pub struct TrackedStream {
     stream: TcpStream,
     /// The progress of the current request, shared with its attempt.
     pub progress: Rc<StreamProgress>,
-    /// The largest response in bytes, including everything that belongs to its framing. Reading
-    /// more fails.
+    /// The largest response in bytes, including its framing. Reading more fails.
     max_response_bytes: usize,
 }
 
 impl TrackedStream {
-    /// Tracks a stream on which no request has been sent yet.
+    /// Wraps a stream on which no request has been sent yet.
     pub fn new(stream: TcpStream, max_response_bytes: usize) -> TrackedStream {
         TrackedStream {
             stream,
@@ -54,10 +56,10 @@
         }
     }
 
-    /// Fails if anything can be read before the first byte of a request is written. Bytes that came
-    /// before the request are not its response, and nothing in a response tells which request it
-    /// answers. The socket itself is checked, because the runtime may not have noticed the bytes
-    /// yet.
+    /// Fails if the socket has unread input or was closed before the first byte of a request is
+    /// written. Bytes that arrived before the request are not its response, and a response does not
+    /// identify the request that it answers. This checks the socket itself, because the runtime may
+    /// not have noticed the bytes yet.
     fn ensure_no_unread_input(&self) -> io::Result<()> {
         if self.progress.write_started.get() {
             return Ok(());
@@ -67,12 +69,12 @@
             Err(e) => Err(e),
             Ok(_) => Err(io::Error::new(
                 ErrorKind::ConnectionReset,
-                "the connection was closed, or the backend sent more than its response",
+                "the backend closed the connection or sent data after its last response",
             )),
         }
     }
 
-    /// Records the result of a write in the progress.
+    /// Updates the progress with the result of a write.
     fn record_write(&self, written: &Poll<io::Result<usize>>) {
         match written {
             Poll::Ready(Ok(bytes)) if *bytes > 0 => self.progress.write_started.set(true),
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One process of a backend, and the idle connections to it.
+//! A process of a backend, and the idle connections to it.
 
 use crate::backend_connection::BackendConnection;
 use crate::count_guard::CountGuard;
@@ -6,32 +6,32 @@
 use brookstack_balancer::{BackendState, Time};
 use std::cell::{Cell, RefCell};
 
-/// A connection that waits for its next request.
+/// A connection that is kept for another request.
 pub struct IdleConnection {
-    /// When its last request ended.
+    /// The time at which its last request ended.
     pub idle_since: Time,
-    /// The connection.
+    /// The connection, without a request under way.
     pub connection: BackendConnection,
-    /// Counts it among the pool's idle connections.
+    /// Counts the connection among the pool's idle connections.
     pub count: CountGuard,
 }
 
-/// One process of a backend. A restart makes a new `Upstream`, so that no connection to the old
-/// process is used.
+/// A process of a backend. A restarted backend gets a new `Upstream`, so that no connection to the
+/// old process is used.
 pub struct Upstream {
-    /// The endpoint list's entry for the process, and its address.
+    /// The process's entry on the endpoint list, and its address.
     pub target: ResolvedEndpoint,
-    /// Whether new requests may go to it. This is checked again before the first byte of each
-    /// request.
+    /// Whether the process accepts new requests. Each attempt checks this again before it sends the
+    /// first byte.
     accepts_requests: Cell<bool>,
-    /// Idle connections to it; the last one was used last.
+    /// The idle connections to the process. The most recently used one is the last.
     pub idle: RefCell<Vec<IdleConnection>>,
-    /// Whether it is on the pool's list of upstreams that may hold idle connections.
+    /// Whether this upstream is on the pool's list of upstreams that may have idle connections.
     pub listed_by_pool: Cell<bool>,
 }
 
 impl Upstream {
-    /// A process to which there are no connections yet.
+    /// Creates an upstream without connections. It accepts requests if `target` is ready.
     pub fn new(target: ResolvedEndpoint) -> Upstream {
         let is_ready = target.endpoint.state == BackendState::Ready;
         Upstream {
@@ -42,23 +42,23 @@
         }
     }
 
-    /// Whether new requests may go to it.
+    /// Whether the process accepts new requests.
     pub fn accepts_requests(&self) -> bool {
         self.accepts_requests.get()
     }
 
-    /// Lets new requests go to it.
+    /// Allows new requests to be sent to the process.
     pub fn open_to_new_requests(&self) {
         self.accepts_requests.set(true);
     }
 
-    /// Lets no new request go to it from now on, and closes the idle connections to it.
+    /// Stops new requests from being sent to the process, and closes the idle connections to it.
     pub fn close_to_new_requests(&self) {
         self.accepts_requests.set(false);
         self.idle.borrow_mut().clear();
     }
 
-    /// Whether both stand for the same process: a restarted one has another start time.
+    /// Whether `target` is this process. A restarted process has a different start time.
     pub fn is_same_process(&self, target: &ResolvedEndpoint) -> bool {
         self.target.address == target.address
             && self.target.endpoint.started_at == target.endpoint.started_at
