--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery: where the proxy learns which backends there are.
+//! The client of the discovery service, which provides the list of backends.
 //!
-//! - [`endpoint_list`] reads the lists that discovery sends,
-//! - [`client`] makes one HTTP call to discovery,
-//! - [`watch`] decides which call comes when and hands each list to the driver.
+//! - [`endpoint_list`] parses the endpoint lists.
+//! - [`client`] holds a connection to discovery and makes single HTTP calls on it.
+//! - [`watch`] decides when to make which call, and sends each list to the driver.
 
 mod client;
 pub mod endpoint_list;
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to discovery and the calls on it.
+//! An HTTP/1.1 connection to discovery and the calls on it.
 
 use super::endpoint_list::{self, EndpointList, EndpointListError};
 use bytes::Bytes;
@@ -15,37 +15,37 @@
 /// The time limit for establishing a connection to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Why a call to discovery brought no list.
+/// Why a call to discovery returned no list.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
     /// No connection was established within [`CONNECT_TIMEOUT`].
-    #[error("no connection in time")]
+    #[error("could not connect within {} ms", CONNECT_TIMEOUT.as_millis())]
     ConnectTimedOut,
     /// The connection was refused, or the network failed.
-    #[error("no connection: {0}")]
+    #[error("could not connect: {0}")]
     Connect(#[source] std::io::Error),
     /// The request could not be built.
-    #[error("invalid request: {0}")]
+    #[error("could not build the request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
     /// The connection failed during the call, or the response was not HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The body broke off or was longer than a list may be.
-    #[error("response body: {0}")]
+    /// The body was truncated or exceeded the size limit of a list.
+    #[error("could not read the response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
     /// Discovery responded with a status other than 200.
-    #[error("status {0}")]
+    #[error("expected a response with status 200, got {0}")]
     Status(StatusCode),
     /// The body is not a valid list.
     #[error("invalid endpoint list: {0}")]
     InvalidList(#[from] EndpointListError),
 }
 
-/// One connection to discovery; dropping it closes it.
+/// A connection to discovery. Dropping it closes the connection.
 pub struct DiscoveryConnection {
     address: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
-    /// Runs the connection's reads and writes.
+    /// The task that reads from and writes to the socket.
     connection_task: JoinHandle<()>,
 }
 
@@ -66,7 +66,7 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let connection_task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                tracing::debug!("discovery connection: {error}");
+                tracing::debug!("connection to discovery at {address} failed: {error}");
             }
         });
         Ok(DiscoveryConnection {
@@ -76,12 +76,13 @@
         })
     }
 
-    /// Whether the connection has ended, so that a call needs another one.
+    /// Whether the connection has ended and cannot be used for another call.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Gets the list at `path`. Fails if the body has more than `max_list_bytes` bytes.
+    /// Requests `path` and parses the list in the response. Fails if the body has more than
+    /// `max_list_bytes` bytes.
     pub async fn get(
         &mut self,
         path: &str,
@@ -93,8 +94,8 @@
             .body(Empty::new())?;
         let response = self.sender.send_request(request).await?;
         let status = response.status();
-        // The body is read with every status, because the connection can take the next call only
-        // after it.
+        // The body is read whatever the status is, because the connection can be used for another
+        // call only when the response has been read completely.
         let json = read_body(response.into_body(), max_list_bytes).await?;
         if status != StatusCode::OK {
             return Err(DiscoveryError::Status(status));
@@ -103,8 +104,8 @@
     }
 }
 
-/// Reads a body into a buffer of its announced length. A list can be large, and a buffer that grows
-/// while it is read would take up to twice the memory.
+/// Reads a body into a buffer of the announced length. A list can be large, and a buffer that grows
+/// during the read would take up to twice the memory.
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Vec<u8>, DiscoveryError> {
     let announced = body.size_hint().exact().unwrap_or(0);
     let mut bytes = Vec::with_capacity(announced.min(max_bytes as u64) as usize);
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,11 +1,12 @@
-//! The endpoint list in the JSON form that discovery and the configuration file share.
+//! Parses the endpoint list from JSON. Discovery and the configuration file use the same format.
 //!
-//! A list can have many thousand entries, and a tree of JSON values takes many times the size of
-//! its text. It is therefore read as a stream, each entry straight into its [`ResolvedEndpoint`]:
+//! A list can have many thousand entries, and a tree of JSON values takes many times the memory of
+//! the text. The list is therefore parsed as a stream, and each entry is converted to a
+//! [`ResolvedEndpoint`] as soon as it is read:
 //!
-//! - [`decode`] reads the list object and its array of entries,
-//! - [`entry`] reads one entry and checks its values,
-//! - [`scalar`] holds one value of any JSON type until it is checked.
+//! - [`decode`] parses the list object and its array of entries.
+//! - [`entry`] parses one entry and validates its values.
+//! - [`scalar`] holds one value of any JSON type until it is validated.
 
 mod decode;
 mod entry;
@@ -14,34 +15,34 @@
 use brookstack_balancer::Endpoint;
 use std::net::SocketAddr;
 
-/// An endpoint with the address at which its requests are sent.
+/// An endpoint with the address that its requests are sent to.
 #[derive(Clone)]
 pub struct ResolvedEndpoint {
-    /// What the balancer knows of the endpoint.
+    /// The part of the entry that the balancer uses.
     pub endpoint: Endpoint,
-    /// Where the proxy connects to.
+    /// The address that the proxy connects to.
     pub address: SocketAddr,
 }
 
 /// An endpoint list, or changes to one.
 #[derive(Clone)]
 pub struct EndpointList {
-    /// The version of the list; discovery reports the changes after a version.
+    /// The version of the list. A proxy can ask discovery for the changes after a version.
     pub version: u64,
-    /// Whether this is the complete list, not changes alone.
+    /// Whether this is the complete list and not just the changes.
     pub is_snapshot: bool,
-    /// The endpoints, in the order of the document.
+    /// The endpoints in the order of the document.
     pub endpoints: Vec<ResolvedEndpoint>,
 }
 
-/// A document is no valid endpoint list. The text gives the path of the bad value, what was
-/// expected there and what was got, then the line and column.
+/// A document is not a valid endpoint list. The message contains the path of the invalid value, the
+/// expected value and the actual value, followed by the line and column.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct EndpointListError(#[from] serde_json::Error);
 
-/// Reads a list. One bad entry rejects the whole of it, because a list that is read in part would
-/// drop backends.
+/// Parses a list. Fails if any entry is invalid, because a list without that entry would remove a
+/// backend.
 pub fn parse(json: &[u8]) -> Result<EndpointList, EndpointListError> {
     Ok(serde_json::from_slice(json)?)
 }
--- a/crates/proxy/src/discovery/endpoint_list/decode.rs
+++ b/crates/proxy/src/discovery/endpoint_list/decode.rs
@@ -1,4 +1,4 @@
-//! The list object and its array of entries.
+//! Parses the list object and its array of entries.
 
 use super::entry::RawEntry;
 use super::scalar::Scalar;
@@ -7,7 +7,7 @@
 use serde::de::{Deserialize, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
-/// The keys of a list; others are skipped.
+/// The keys of the list object. Unknown keys are skipped.
 #[derive(serde::Deserialize)]
 #[serde(field_identifier, rename_all = "snake_case")]
 enum ListKey {
@@ -18,7 +18,7 @@
     Unknown,
 }
 
-/// A list as the document has it, its own values not yet checked.
+/// A list whose `index` and `snapshot` have not been validated yet.
 #[derive(Default)]
 struct RawList<'a> {
     index: Scalar<'a>,
@@ -34,7 +34,7 @@
         let version = self
             .index
             .as_unsigned()
-            .ok_or_else(|| self.index.invalid("index", "a version"))?;
+            .ok_or_else(|| self.index.invalid("index", "a version number"))?;
         let is_snapshot = self
             .snapshot
             .as_bool()
@@ -76,7 +76,7 @@
     }
 }
 
-/// The entries of a list, each checked as soon as it is read.
+/// The entries of a list. Each entry is validated as soon as it is read.
 struct Entries(Vec<ResolvedEndpoint>);
 
 impl<'de> Deserialize<'de> for Entries {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Reads the next entry; an error that has no path yet gets that of the entry.
+/// Reads the next entry. The path of the entry is added to errors, which have none yet.
 fn next_entry<'de, A: SeqAccess<'de>>(
     entries: &mut A,
     index: usize,
--- a/crates/proxy/src/discovery/endpoint_list/entry.rs
+++ b/crates/proxy/src/discovery/endpoint_list/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of an endpoint list.
+//! Parses and validates one entry of an endpoint list.
 
 use super::scalar::Scalar;
 use super::ResolvedEndpoint;
@@ -10,7 +10,7 @@
 
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// An entry as the document has it, its values not yet checked.
+/// An entry whose values have not been validated yet.
 #[derive(Default)]
 pub(super) struct RawEntry<'a> {
     status: Scalar<'a>,
@@ -23,7 +23,7 @@
     since_ms: Scalar<'a>,
 }
 
-/// The keys of an entry; others are skipped.
+/// The keys of an entry. Unknown keys are skipped.
 #[derive(serde::Deserialize)]
 #[serde(field_identifier, rename_all = "snake_case")]
 enum EntryKey {
@@ -74,7 +74,8 @@
 }
 
 impl RawEntry<'_> {
-    /// Checks the values of the entry. Error messages show its index in the list.
+    /// Validates the values of the entry. Error messages contain `index`, the entry's index in the
+    /// list.
     pub fn resolve(&self, index: usize) -> Result<ResolvedEndpoint, InvalidValue> {
         let at = |key| ValuePath { index, key };
         let state = backend_state(&self.status, at("status"))?;
@@ -93,7 +94,7 @@
     }
 }
 
-/// The path of a value in the document.
+/// The path of a value in the document, for error messages.
 #[derive(Clone, Copy)]
 struct ValuePath {
     index: usize,
@@ -119,14 +120,15 @@
     }
 }
 
-/// The time at which the backend's process started; missing, `null` and 0 say that it is not known.
+/// The time at which the backend's process started. It is unknown if the value is missing, `null`
+/// or 0.
 fn start_time(value: &Scalar<'_>, path: ValuePath) -> Result<Option<Time>, InvalidValue> {
     if matches!(value, Scalar::Missing | Scalar::Null) {
         return Ok(None);
     }
     let milliseconds = value
         .as_unsigned()
-        .ok_or_else(|| value.invalid(path, "whole milliseconds"))?;
+        .ok_or_else(|| value.invalid(path, "an integer number of milliseconds"))?;
     if milliseconds == 0 {
         return Ok(None);
     }
@@ -150,5 +152,5 @@
 fn socket_address(value: &Scalar<'_>, path: ValuePath) -> Result<SocketAddr, InvalidValue> {
     text(value, path)?
         .parse()
-        .map_err(|_| value.invalid(path, "an address"))
+        .map_err(|_| value.invalid(path, "an IP address and a port"))
 }
--- a/crates/proxy/src/discovery/endpoint_list/scalar.rs
+++ b/crates/proxy/src/discovery/endpoint_list/scalar.rs
@@ -1,16 +1,16 @@
-//! One value of a JSON document, read without regard to its type and checked afterwards, so that an
-//! error can name its path, what was expected and what was got.
+//! A value of a JSON document that is read whatever its type is and validated afterwards. This way
+//! an error can contain the path of the value, the expected value and the actual value.
 
 use brookstack_balancer::settings::InvalidValue;
 use serde::de::{Deserialize, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use std::borrow::Cow;
 use std::fmt;
 
-/// A JSON value, kept as far as a list needs it or an error message shows it: of an array or an
-/// object only that it is one.
+/// A JSON value, reduced to what an endpoint list or an error message needs. The contents of arrays
+/// and objects are not kept.
 #[derive(Default)]
 pub(super) enum Scalar<'a> {
-    /// The document has no such member.
+    /// The object has no member with this key.
     #[default]
     Missing,
     Null,
@@ -22,7 +22,7 @@
 }
 
 impl Scalar<'_> {
-    /// The error for this value at that path. The path is only written out here, as most values are
+    /// The error for this value at `path`. The path is formatted only here, because most values are
     /// valid.
     pub fn invalid(&self, path: impl fmt::Display, expected: &'static str) -> InvalidValue {
         let got = match self {
@@ -32,7 +32,7 @@
         InvalidValue::new(path.to_string(), expected, got)
     }
 
-    /// The text of a string.
+    /// The value if it is a string.
     pub fn as_text(&self) -> Option<&str> {
         match self {
             Scalar::Text(text) => Some(text),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The value of `true` or `false`.
+    /// The value if it is a boolean.
     pub fn as_bool(&self) -> Option<bool> {
         match self {
             Scalar::Bool(value) => Some(*value),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// An integer of 0 or more.
+    /// The value if it is an integer of 0 or more.
     pub fn as_unsigned(&self) -> Option<u64> {
         match self {
             Scalar::Unsigned(value) => Some(*value),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Any number.
+    /// The value if it is a number.
     pub fn as_float(&self) -> Option<f64> {
         match self {
             Scalar::Unsigned(value) => Some(*value as f64),
--- a/crates/proxy/src/discovery/endpoint_list/tests.rs
+++ b/crates/proxy/src/discovery/endpoint_list/tests.rs
@@ -15,20 +15,21 @@
     json!({"index": 7, "snapshot": true, "more": [{}], "endpoints": [ready, gone]})
 }
 
-/// The keys that a list has to have.
+/// The required keys of a list.
 const REQUIRED_LIST_KEYS: [&str; 3] = ["index", "snapshot", "endpoints"];
-/// The keys that each entry has to have.
+/// The required keys of an entry.
 const REQUIRED_ENTRY_KEYS: [&str; 7] = [
     "status", "name", "address", "zone", "type", "group", "weight",
 ];
 
+/// The error message for an invalid list.
 fn rejection(list: &Value) -> String {
     let result = parse(list.to_string().as_bytes());
     result.err().expect("a rejected list").to_string()
 }
 
 #[test]
-fn a_list_is_read_with_unknown_keys_skipped() {
+fn a_list_is_parsed_and_unknown_keys_are_skipped() {
     let compact = valid_list().to_string();
     let pretty = serde_json::to_string_pretty(&valid_list()).expect("JSON");
     for text in [compact, pretty] {
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn escape_sequences_in_texts_are_read() {
+fn escape_sequences_in_strings_are_decoded() {
     let text = valid_list().to_string();
     let escaped = text.replace("\"ready\"", "\"re\\u0061dy\"");
     assert_ne!(escaped, text);
@@ -57,8 +58,8 @@
     assert_eq!(list.endpoints[0].endpoint.state, BackendState::Ready);
 }
 
-/// Checks that one bad value, which replaces the value at a JSON pointer, rejects the whole list,
-/// and how the message begins.
+/// Asserts that a list is rejected if `value` replaces the value at the JSON pointer, and that the
+/// error message begins with `message`.
 fn assert_rejected(pointer: &str, value: Value, message: &str) {
     let mut list = valid_list();
     *list.pointer_mut(pointer).expect("a value at the pointer") = value;
@@ -67,8 +68,12 @@
 }
 
 #[test]
-fn a_bad_value_of_the_list_is_reported_with_its_path() {
-    assert_rejected("/index", json!(-1), "index: expected a version, got -1");
+fn an_invalid_value_of_the_list_is_reported_with_its_path() {
+    assert_rejected(
+        "/index",
+        json!(-1),
+        "index: expected a version number, got -1",
+    );
     assert_rejected(
         "/snapshot",
         json!("yes"),
@@ -92,7 +97,7 @@
 }
 
 #[test]
-fn a_bad_value_of_an_entry_is_reported_with_its_path() {
+fn an_invalid_value_of_an_entry_is_reported_with_its_path() {
     assert_rejected(
         "/endpoints/1/status",
         json!("up"),
@@ -121,12 +126,12 @@
     assert_rejected(
         "/endpoints/1/since_ms",
         json!("x"),
-        "endpoints[1].since_ms: expected whole milliseconds, got \"x\"",
+        "endpoints[1].since_ms: expected an integer number of milliseconds, got \"x\"",
     );
     assert_rejected(
         "/endpoints/1/address",
         json!("here"),
-        "endpoints[1].address: expected an address, got \"here\"",
+        "endpoints[1].address: expected an IP address and a port, got \"here\"",
     );
 }
 
@@ -157,7 +162,7 @@
 }
 
 #[test]
-fn a_document_that_is_no_list_is_rejected() {
+fn a_document_that_is_not_a_list_is_rejected() {
     let text = valid_list().to_string();
     let truncated = &text[..text.len() - 5];
     let extended = text.clone() + "x";
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,11 +1,12 @@
-//! The watch on the endpoint list, by long polling: the proxy makes one call to discovery after the
-//! other, and the service holds each call open until the list changes or until the wait is over
-//! that the call asks for.
+//! Watches the endpoint list by long polling. The proxy makes calls to discovery one after the
+//! other. Each call specifies a wait, and the service holds the call open until the list changes or
+//! the wait ends.
 //!
-//! A list comes from one of two sources: a central service that all proxies poll, or a local agent
-//! that pushes changes. In both cases a proxy counts as notified of a change soon after the source
-//! had the change and could be reached. From then on the proxy is expected to act on the change,
-//! whether it has received the change or not. The times in this module are chosen so that it has.
+//! The list comes either from a central service that all proxies poll, or from a local agent that
+//! pushes changes. In both cases a proxy counts as notified of a change soon after the service or
+//! agent had the change and could be reached. From then on the proxy is expected to act on the
+//! change, whether or not it has received it. The time limits in this module ensure that the proxy
+//! has received the change by then.
 
 use super::client::{DiscoveryConnection, DiscoveryError};
 use super::endpoint_list::{EndpointList, ResolvedEndpoint};
@@ -20,41 +21,41 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch, Notify};
 
-/// The wait of a call to the local agent. Calls cost the agent nothing, and with a short wait the
-/// proxy soon notices that the agent has become unresponsive.
+/// The wait of a call to the local agent. The wait is short so that the proxy soon notices an
+/// unresponsive agent. Frequent calls cost the agent nothing.
 const PUSH_WAIT: Duration = Duration::from_secs(4);
 /// The range of the wait of a call to the central service, in seconds. The wait is long because
-/// each call costs the service work. It is drawn at random because a change of the list makes all
-/// proxies start their next call at the same moment. With equal waits these calls would also end
-/// at the same moment, and the service would get all of the calls that follow at once.
+/// each call causes work for the service. It is random because all proxies start their next call at
+/// the same time after a change of the list. With equal waits these calls would also end at the
+/// same time, and the service would receive all of the next calls at the same time.
 const POLL_WAIT_SECONDS: Range<f64> = 15.0..25.0;
-/// The time after the end of its wait at which an unanswered call is given up. The service ends a
-/// wait to the millisecond, so a response that is later than this will not come. The proxy counts
-/// as notified of the changes that it missed 2 s after the end of the wait. The next call must have
-/// been made and answered by then.
+/// The time after the end of its wait at which an unanswered call times out. The service ends a
+/// wait with millisecond precision, so a response that has not arrived by then will not arrive. The
+/// proxy counts as notified of the changes that it missed 2 s after the end of the wait. The next
+/// call must be made and answered before that.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// The time limit of a call that gets the complete list. The service answers such a call within
-/// this time or fails it, including the time that the call spends in the service's queue.
+/// The time limit of a call for the complete list. The service answers or fails such a call within
+/// this time, including the time that the call spends in the service's queue.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(3500);
 /// The first pause after a failed call to the agent. It is short because the proxy counts as
-/// notified of what the agent has soon after the agent is back.
+/// notified of the agent's changes soon after the agent can be reached again.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest pause after failed calls to the agent.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Why a call of the watch brought no list.
+/// Why a call of the watch returned no list.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     /// The call failed.
     #[error(transparent)]
     Failed(#[from] DiscoveryError),
     /// The call was not answered within its time limit.
-    #[error("no answer in time")]
+    #[error("no response within the time limit")]
     TimedOut,
 }
 
 impl WatchError {
-    /// The update that tells the balancer of it.
+    /// The update that reports this error to the balancer.
     fn endpoint_update(&self) -> EndpointUpdate {
         match self {
             WatchError::Failed(_) => EndpointUpdate::WatchFailed,
@@ -63,7 +64,7 @@
     }
 }
 
-/// The growing pause between calls that fail.
+/// The exponential backoff after failed calls.
 struct Backoff {
     next: Duration,
 }
@@ -79,35 +80,37 @@
     }
 }
 
-/// Watches the endpoint list and hands each change to the driver.
+/// Watches the endpoint list and sends each change to the driver.
 pub struct EndpointWatcher {
-    /// Who decides when discovery is called.
+    /// Whether a local agent pushes changes, or the central service is called when the balancer
+    /// requests it.
     pub mode: DiscoveryMode,
-    /// The version of the list that the proxy holds; if `None`, the next call gets the complete
+    /// The version of the list that the proxy holds. If `None`, the next call requests the complete
     /// list.
     pub version: Option<u64>,
     /// Notified when the balancer requests a poll.
     pub poll_requested: Rc<Notify>,
-    /// Where lists and failures go.
+    /// The channel to the driver for lists and failures.
     pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// The largest list that is read, in bytes.
+    /// The size limit of a list, in bytes.
     pub max_list_bytes: usize,
-    /// Draws waits that differ from those of other proxies.
+    /// The random number generator for the waits. Its seed must differ between proxies.
     pub random: Pcg32,
 }
 
 impl EndpointWatcher {
-    /// Watches until the program ends, always at the address that was sent last. A new address
-    /// cancels the current call, its connection, and the pause after a failure. The version is
-    /// dropped too, because it has a meaning only for the old service.
+    /// Watches the list at the address that was sent last, until the program ends. A new address
+    /// cancels the current call or the pause after a failure, and closes the connection. The
+    /// version is dropped too, because it is valid only for the old service.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
         if self.is_push() {
-            // The version of the cached list may come from an agent that has restarted since, and
-            // that counts versions from the start again. Asked for changes after that version, it
-            // would hold the call open instead of sending what it has.
+            // The agent may have restarted since it sent the cached list, and then it counts
+            // versions from the start again. A call for the changes after the cached version would
+            // be held open, and the agent would not send the changes that it has.
             self.version = None;
         }
-        // An agent is called at once. The central service is called when the balancer requests it.
+        // An agent is called immediately. The central service is called when the balancer requests
+        // it.
         let mut poll_at_once = self.is_push();
         loop {
             let address = *addresses.borrow_and_update();
@@ -117,8 +120,8 @@
                     if changed.is_err() {
                         return; // the program ends
                     }
-                    // The new service is called at once, even during a pause that follows a
-                    // failure of the old one.
+                    // The new service is called immediately, even during a pause after a failure of
+                    // the old one.
                     self.version = None;
                     poll_at_once = true;
                 }
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Watches at one address. After an answer the next call is made at once, so that no change is
-    /// missed between two calls.
+    /// Watches the list at one address. After a response the next call is made immediately, so that
+    /// no change is missed between two calls.
     async fn watch(&mut self, address: SocketAddr, mut poll_at_once: bool) -> Infallible {
         let mut connection = None;
         let mut backoff = Backoff::new();
@@ -143,7 +146,10 @@
                     self.take_list(list);
                 }
                 Err(error) => {
-                    tracing::warn!("discovery: {error}");
+                    tracing::warn!(
+                        "call to discovery at {address} failed: {error}; \
+                         the current endpoint list stays in use until a call succeeds"
+                    );
                     connection = None;
                     poll_at_once = self.is_push();
                     self.handle_failure(&error, &mut backoff).await;
@@ -152,11 +158,12 @@
         }
     }
 
-    /// Prepares the next call after one that failed. The endpoint list at hand stays in use.
+    /// Prepares the next call after a failed call: pauses if an agent is called, otherwise reports
+    /// the failure to the balancer. The current endpoint list stays in use.
     async fn handle_failure(&mut self, error: &WatchError, backoff: &mut Backoff) {
         if self.is_push() {
-            // An agent that has restarted may count versions from the start again. A complete list
-            // costs an agent nothing, so the next call asks for one.
+            // The agent may have restarted and count versions from the start again, so the next
+            // call requests the complete list. This costs the agent nothing.
             self.version = None;
             backoff.pause().await;
         } else {
@@ -164,15 +171,15 @@
         }
     }
 
-    /// Whether an agent pushes the lists, so that the balancer need not request polls.
+    /// Whether an agent pushes changes. The balancer does not request polls then.
     fn is_push(&self) -> bool {
         self.mode == DiscoveryMode::Push
     }
 
-    /// Records the version of a list and hands the list to the driver.
+    /// Records the version of a list and sends the list to the driver.
     fn take_list(&mut self, list: EndpointList) {
         // A delta that is older than the held list comes from a service that has restarted and
-        // counts versions from the start again. The next call then asks for its complete list.
+        // counts versions from the start again. The next call then requests the complete list.
         let is_older = !list.is_snapshot && self.version.is_some_and(|held| list.version < held);
         self.version = (!is_older).then_some(list.version);
         let update = if list.is_snapshot {
@@ -180,7 +187,7 @@
         } else {
             EndpointUpdate::Delta
         };
-        // The balancer counts an empty delta as the answer to a poll that it requested.
+        // The balancer needs even an empty delta as the answer to a poll that it requested.
         let answers_poll = !self.is_push();
         if list.is_snapshot || !list.endpoints.is_empty() || answers_poll {
             self.send(update, list.endpoints);
@@ -192,7 +199,7 @@
         let _ = self.events.send(event); // fails only when the program ends
     }
 
-    /// The time for which the service may hold the next call open.
+    /// Returns the time for which the service may hold the next call open.
     fn next_wait(&mut self) -> Duration {
         if self.is_push() {
             return PUSH_WAIT;
@@ -203,9 +210,10 @@
         Duration::from_millis((seconds * 1000.0) as u64)
     }
 
-    /// Makes one call within its time limit, so that a service that never answers does not block
-    /// the watch. A poll that the balancer requests meanwhile is answered by this call too. If the
-    /// request were kept, it would cut short the pause that the balancer wants after a failure.
+    /// Makes one call with a time limit, so that a service that never answers does not block the
+    /// watch. The call also answers polls that the balancer requests while it is open. If such a
+    /// request were kept for later, the next call after a failure would be made without the pause
+    /// that the balancer wants.
     async fn poll(
         &self,
         connection: &mut Option<DiscoveryConnection>,
@@ -234,8 +242,8 @@
         }
     }
 
-    /// Gets the changes since the held version, or the complete list if no version is held. Uses
-    /// the open connection if there is one, otherwise a new one.
+    /// Requests the changes since the held version, or the complete list if no version is held.
+    /// Uses the open connection if there is one, otherwise opens a new one.
     async fn get_list(
         &self,
         connection: &mut Option<DiscoveryConnection>,
--- a/crates/proxy/src/discovery/watch/tests.rs
+++ b/crates/proxy/src/discovery/watch/tests.rs
@@ -3,7 +3,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// How the scripted discovery service responds to a call.
+/// What the scripted discovery service does with a call.
 enum Reply {
     Snapshot(u64),
     Delta(u64),
@@ -11,7 +11,7 @@
     Reset,
 }
 
-/// A call that the service has received.
+/// A call that the service received.
 #[derive(Debug)]
 struct Call {
     at: Instant,
@@ -19,15 +19,16 @@
 }
 
 impl Call {
-    /// The wait that the call allows.
+    /// The wait that the call specifies, or zero if it specifies none.
     fn wait(&self) -> Duration {
         let wait = self.path.split("wait_ms=").nth(1);
         Duration::from_millis(wait.map_or(0, |w| w.parse().expect("whole milliseconds")))
     }
 }
 
-/// A discovery service that follows a script and reports each call. It runs in the same thread as
-/// the watch: with the clock paused, time advances only when both sides wait.
+/// A discovery service that follows a script and sends each call to `calls`. It runs in the same
+/// thread as the watch, so that the paused clock advances only when both the service and the watch
+/// are waiting.
 async fn discovery_service(
     listener: TcpListener,
     script: Vec<Reply>,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Reads a call up to the end of its head and returns its path; `None` if the connection ends.
+/// Reads a call up to the end of its head and returns its path, or `None` if the connection ends.
 async fn read_call(lines: &mut Lines<BufReader<TcpStream>>) -> Option<String> {
     let mut path = None;
     while let Ok(Some(line)) = lines.next_line().await {
@@ -105,8 +106,9 @@
     }
 }
 
-/// Runs a watch against a service with that script until the service has received `call_count`
-/// calls. `on_update` acts as the balancer: it sees each update and can request a poll.
+/// Runs a watch against a service that follows `script`, until the service has received
+/// `call_count` calls. `on_update` stands in for the balancer: it gets each update and can request
+/// a poll.
 async fn watch_calls(
     mode: DiscoveryMode,
     version: Option<u64>,
@@ -147,9 +149,9 @@
 }
 
 /// The proxy counts as notified of the changes that an unanswered call missed 2 s after the end of
-/// its wait. The next call must be made early enough to be answered by then.
+/// the call's wait. The next call must be made early enough to be answered by then.
 #[tokio::test(start_paused = true)]
-async fn an_unanswered_watch_times_out_soon_after_its_wait() {
+async fn an_unanswered_call_times_out_soon_after_its_wait() {
     for (mode, min_wait) in [(POLLED, 15.0), (DiscoveryMode::Push, 4.0)] {
         let script = vec![Reply::Snapshot(5), Reply::Silence, Reply::Silence];
         let calls = watch_calls(mode, Some(4), script, 3, poll_after_timeout).await;
@@ -168,9 +170,9 @@
     }
 }
 
-/// With equal waits all proxies would poll at the same moments.
+/// The waits must be random. With equal waits all proxies would poll at the same time.
 #[tokio::test(start_paused = true)]
-async fn the_waits_of_watches_differ() {
+async fn the_waits_of_calls_are_random() {
     let script = (1..9).map(Reply::Snapshot).collect();
     let calls = watch_calls(POLLED, Some(0), script, 9, poll_after_timeout).await;
     let waits: std::collections::BTreeSet<Duration> = calls.iter().map(Call::wait).collect();
@@ -183,8 +185,8 @@
     );
 }
 
-/// The balancer may request a poll while a call is open. If that request were kept, the next call
-/// would be made right after a failure, without the pause that the balancer wants.
+/// The balancer may request a poll while a call is open. If that request were kept and the call
+/// failed, the next call would be made without the pause that the balancer wants after a failure.
 #[tokio::test(start_paused = true)]
 async fn a_poll_request_during_a_call_is_not_kept_for_later() {
     let script = vec![
@@ -201,14 +203,15 @@
     let fourth_call = tokio::time::timeout(Duration::from_secs(3600), calls).await;
     assert!(
         fourth_call.is_err(),
-        "a call that the balancer had not requested"
+        "the watch made a call that the balancer had not requested"
     );
 }
 
 /// The proxy counts as notified of the agent's list from its own start, and again as soon as the
-/// agent is back from an outage.
+/// agent can be reached after an outage. The proxy must request the complete list both times and
+/// must not pause for long between failed calls.
 #[tokio::test(start_paused = true)]
-async fn an_agent_is_asked_for_a_snapshot_at_the_start_and_right_after_failures() {
+async fn a_snapshot_is_requested_from_an_agent_at_the_start_and_soon_after_failures() {
     let mut script: Vec<Reply> = (0..12).map(|_| Reply::Reset).collect();
     script.push(Reply::Snapshot(3));
     let calls = watch_calls(
@@ -237,9 +240,10 @@
     );
 }
 
-/// A service that has restarted may count versions from the start again.
+/// A service that has restarted may count versions from the start again. A delta with a lower
+/// version shows this, and the watch must then request the complete list.
 #[tokio::test(start_paused = true)]
-async fn a_delta_older_than_the_version_at_hand_calls_for_a_snapshot() {
+async fn after_a_delta_with_a_lower_version_a_snapshot_is_requested() {
     let script = vec![Reply::Delta(42), Reply::Delta(2), Reply::Snapshot(3)];
     let calls = watch_calls(POLLED, Some(41), script, 4, poll_after_timeout).await;
     let expected = [
@@ -255,10 +259,11 @@
     assert_eq!(paths_without_wait, expected);
 }
 
-/// A reload names another service while the balancer pauses after a failure. The proxy counts as
-/// notified of the new service's list seconds later, so that service is polled at once.
+/// If a configuration reload changes the discovery address while the balancer pauses after a
+/// failure, the new service must be polled immediately, because the proxy counts as notified of its
+/// list seconds later.
 #[tokio::test(start_paused = true)]
-async fn a_service_from_a_new_configuration_is_polled_at_once() {
+async fn a_service_from_a_new_configuration_is_polled_immediately() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let (events, _updates) = mpsc::unbounded_channel();
--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -48,7 +48,9 @@
     let config = config_with(limits, discovery_mode, discovery_address, &old_backend);
     let proxy = ProxyProcess::spawn_with_descriptor_limit(&config, Some(limits.enforced));
     proxy.wait_until_ready();
-    wait_until("a poll has failed", || proxy.log().contains("discovery: "));
+    wait_until("a poll has failed", || {
+        proxy.log().contains("call to discovery at ")
+    });
     let stopped = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let clients = scope.spawn(|| keep_clients_connected(&proxy, 2 * limits.enforced, &stopped));
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -73,7 +73,9 @@
     let mut config = proxy_config(discovery_address, &[ready("a", a.address)]);
     config["settings"]["discovery"] = json!(discovery_mode);
     let proxy = ProxyProcess::start(&config);
-    wait_until("a poll has failed", || proxy.log().contains("discovery: "));
+    wait_until("a poll has failed", || {
+        proxy.log().contains("call to discovery at ")
+    });
     let discovery = FakeDiscovery::start_at(discovery_address);
     discovery.apply_snapshot(&[draining("a", a.address), ready("b", b.address)]);
     let response = send_request(&proxy, &request("read", 7000));
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -94,7 +94,7 @@
             let address = free_address();
             let proxy = ProxyProcess::spawn(&config_with(address, mode, known));
             wait_until("some polls have failed", || {
-                proxy.log().matches("discovery: ").count() >= 3
+                proxy.log().matches("call to discovery at ").count() >= 3
             });
             assert_eq!(proxy.readiness_status(), 503, "{case}");
             let discovery = FakeDiscovery::start_at(address);
