--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -27,7 +27,8 @@
     pub deadline: Time,
 }
 
-/// How much of an attempt's request has been sent. The driver reads it when it aborts the attempt.
+/// How much of an attempt's request has been sent. The driver reads it to decide whether to abort
+/// the attempt, and which outcome an aborted attempt has.
 #[derive(Default)]
 pub struct SendProgress(RefCell<Option<Rc<StreamProgress>>>);
 
@@ -85,7 +86,7 @@
                 Ok(acquired) => acquired,
                 Err(error) => return Outcome::from(error).into(),
             };
-            if self.is_too_late() {
+            if self.must_not_be_sent() {
                 return Outcome::NotSent.into();
             }
             if (self.request.client_disconnected)() {
@@ -122,7 +123,7 @@
 
     /// Whether the attempt must not be sent any more. While the connection was established, the
     /// backend may have started to drain, or `send_by` may have passed.
-    fn is_too_late(&self) -> bool {
+    fn must_not_be_sent(&self) -> bool {
         let send_by = self.deadlines.send_by;
         !self.upstream.accepts_requests()
             || send_by.is_some_and(|send_by| self.pool.clock.now() >= send_by)
--- a/crates/proxy/src/attempt/tests.rs
+++ b/crates/proxy/src/attempt/tests.rs
@@ -10,20 +10,20 @@
 
 /// A backend that sends a second, unsolicited response on its first connection, and then serves one
 /// request on another connection.
-struct SurplusBackend {
+struct UnsolicitedResponseBackend {
     address: SocketAddr,
     first_response_read: mpsc::Sender<()>,
-    surplus_written: mpsc::Receiver<()>,
+    second_response_written: mpsc::Receiver<()>,
     /// Returns the number of bytes that arrived on the first connection after its first request.
     thread: JoinHandle<usize>,
 }
 
-impl SurplusBackend {
-    fn start() -> SurplusBackend {
+impl UnsolicitedResponseBackend {
+    fn start() -> UnsolicitedResponseBackend {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let (first_response_read, response_read) = mpsc::channel();
-        let (written, surplus_written) = mpsc::channel();
+        let (written, second_response_written) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let response = |body| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{body}");
             let mut first = listener.accept().expect("a connection").0;
@@ -39,10 +39,10 @@
             // response, because the kernel then resets the connection.
             first.read(&mut [0]).unwrap_or(0)
         });
-        SurplusBackend {
+        UnsolicitedResponseBackend {
             address,
             first_response_read,
-            surplus_written,
+            second_response_written,
             thread,
         }
     }
@@ -53,7 +53,7 @@
 /// its sockets between the two attempts.
 #[tokio::test]
 async fn an_unsolicited_response_is_not_taken_for_the_next_response() {
-    let backend = SurplusBackend::start();
+    let backend = UnsolicitedResponseBackend::start();
     let clock = Clock::new();
     let second = Micros(1_000_000);
     let endpoint = resolved_endpoint(0, BackendState::Ready, backend.address);
@@ -67,9 +67,9 @@
         },
         progress: Rc::default(),
     };
-    let SurplusBackend {
+    let UnsolicitedResponseBackend {
         first_response_read,
-        surplus_written,
+        second_response_written,
         thread,
         ..
     } = backend;
@@ -79,7 +79,7 @@
     let attempts = async move {
         let first = body(attempt.run().await);
         first_response_read.send(()).expect("the backend waits");
-        surplus_written.recv().expect("written");
+        second_response_written.recv().expect("written");
         (first, body(attempt.run().await))
     };
     let local = tokio::task::LocalSet::new();
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -62,7 +62,7 @@
     idle_connections: Rc<Cell<usize>>,
     max_idle: Cell<usize>,
     /// The upstreams that may have idle connections, usually a small part of the endpoint list.
-    idle_holders: RefCell<VecDeque<Rc<Upstream>>>,
+    upstreams_with_idle: RefCell<VecDeque<Rc<Upstream>>>,
 }
 
 impl ConnectionPool {
@@ -84,7 +84,7 @@
             max_sockets,
             idle_connections: Rc::default(),
             max_idle: Cell::new(usize::MAX),
-            idle_holders: RefCell::default(),
+            upstreams_with_idle: RefCell::default(),
         }
     }
 
@@ -105,7 +105,7 @@
     pub fn close_idle(&self, count: usize) -> Option<SocketAddr> {
         let mut remaining = count;
         let mut last_closed = None;
-        for upstream in self.idle_holders.borrow().iter() {
+        for upstream in self.upstreams_with_idle.borrow().iter() {
             while remaining > 0 && upstream.idle.borrow_mut().pop().is_some() {
                 remaining -= 1;
                 last_closed = Some(upstream.target.address);
@@ -156,7 +156,9 @@
             count: CountGuard::new(&self.idle_connections),
         });
         if !upstream.listed_by_pool.replace(true) {
-            self.idle_holders.borrow_mut().push_back(upstream.clone());
+            self.upstreams_with_idle
+                .borrow_mut()
+                .push_back(upstream.clone());
         }
     }
 
@@ -185,9 +187,9 @@
     /// upstreams that may have idle connections are visited. The task yields after each upstream,
     /// so that other tasks can run.
     pub async fn close_expired(&self) {
-        let holders = self.idle_holders.borrow().len();
-        for _ in 0..holders {
-            let Some(upstream) = self.idle_holders.borrow_mut().pop_front() else {
+        let upstream_count = self.upstreams_with_idle.borrow().len();
+        for _ in 0..upstream_count {
+            let Some(upstream) = self.upstreams_with_idle.borrow_mut().pop_front() else {
                 return;
             };
             upstream.listed_by_pool.set(false);
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -54,13 +54,13 @@
     let clock = Clock::new();
     let second = Micros(1_000_000);
     let pool = Rc::new(ConnectionPool::new(clock, second, second.times(600.0), 64));
-    let one = upstream(1, start_backend(1));
-    let three = upstream(2, start_backend(3));
+    let with_one = upstream(1, start_backend(1));
+    let with_three = upstream(2, start_backend(3));
     let _unused: Vec<_> = (3..1000)
         .map(|id| upstream(id, SocketAddr::from(([127, 0, 0, 1], 9))))
         .collect();
     let local = tokio::task::LocalSet::new();
-    let attempts = [&one, &three, &three, &three].map(|upstream| {
+    let attempts = [&with_one, &with_three, &with_three, &with_three].map(|upstream| {
         let attempt = attempt(&pool, upstream);
         local.spawn_local(async move { attempt.run().await.outcome })
     });
@@ -68,19 +68,23 @@
         for attempt in attempts {
             assert_eq!(attempt.await.expect("no panic"), Outcome::Success);
         }
-        let idle_and_holders = || {
-            let holders = pool.idle_holders.borrow().len();
-            (pool.idle_connections(), holders)
+        let idle_and_upstream_counts = || {
+            let upstream_count = pool.upstreams_with_idle.borrow().len();
+            (pool.idle_connections(), upstream_count)
         };
-        assert_eq!(idle_and_holders(), (4, 2));
+        assert_eq!(idle_and_upstream_counts(), (4, 2));
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (4, 2), "open connections are kept");
-        three.close_to_new_requests();
+        assert_eq!(
+            idle_and_upstream_counts(),
+            (4, 2),
+            "open connections are kept"
+        );
+        with_three.close_to_new_requests();
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (1, 1));
-        assert_eq!(pool.close_idle(5), Some(one.target.address));
+        assert_eq!(idle_and_upstream_counts(), (1, 1));
+        assert_eq!(pool.close_idle(5), Some(with_one.target.address));
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (0, 0));
+        assert_eq!(idle_and_upstream_counts(), (0, 0));
     };
     local.run_until(check).await;
 }
--- a/crates/proxy/src/discovery/endpoint_list/tests.rs
+++ b/crates/proxy/src/discovery/endpoint_list/tests.rs
@@ -23,7 +23,7 @@
 ];
 
 /// The error message for an invalid list.
-fn rejection(list: &Value) -> String {
+fn rejection_message(list: &Value) -> String {
     let result = parse(list.to_string().as_bytes());
     result.err().expect("a rejected list").to_string()
 }
@@ -63,7 +63,7 @@
 fn assert_rejected(pointer: &str, value: Value, message: &str) {
     let mut list = valid_list();
     *list.pointer_mut(pointer).expect("a value at the pointer") = value;
-    let error = rejection(&list);
+    let error = rejection_message(&list);
     assert!(error.starts_with(message), "{error}");
 }
 
@@ -148,14 +148,14 @@
     for key in REQUIRED_ENTRY_KEYS {
         let mut list = valid_list();
         remove_key(&mut list["endpoints"][0], key);
-        let error = rejection(&list);
+        let error = rejection_message(&list);
         let message = format!("endpoints[0].{key}: missing, expected ");
         assert!(error.starts_with(&message), "{error}");
     }
     for key in REQUIRED_LIST_KEYS {
         let mut list = valid_list();
         remove_key(&mut list, key);
-        let error = rejection(&list);
+        let error = rejection_message(&list);
         let message = format!("{key}: missing, expected ");
         assert!(error.starts_with(&message), "{error}");
     }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -143,7 +143,7 @@
                 Ok(list) => {
                     poll_at_once = true;
                     backoff = Backoff::new();
-                    self.take_list(list);
+                    self.handle_list(list);
                 }
                 Err(error) => {
                     tracing::warn!(
@@ -177,7 +177,7 @@
     }
 
     /// Records the version of a list and sends the list to the driver.
-    fn take_list(&mut self, list: EndpointList) {
+    fn handle_list(&mut self, list: EndpointList) {
         // A delta that is older than the held list comes from a service that has restarted and
         // counts versions from the start again. The next call then requests the complete list.
         let is_older = !list.is_snapshot && self.version.is_some_and(|held| list.version < held);
--- a/crates/proxy/src/discovery/watch/tests.rs
+++ b/crates/proxy/src/discovery/watch/tests.rs
@@ -7,7 +7,7 @@
 enum Reply {
     Snapshot(u64),
     Delta(u64),
-    Silence,
+    NoResponse,
     Reset,
 }
 
@@ -55,7 +55,7 @@
                     let _ = lines.get_ref().get_ref().set_zero_linger();
                     break;
                 }
-                Some(Reply::Silence) | None => {
+                Some(Reply::NoResponse) | None => {
                     unanswered.push(lines);
                     break;
                 }
@@ -86,7 +86,7 @@
     head + &list
 }
 
-const POLLED: DiscoveryMode = DiscoveryMode::Watch {
+const WATCH_MODE: DiscoveryMode = DiscoveryMode::Watch {
     poll_within: brookstack_balancer::Micros(10_000_000),
 };
 
@@ -152,8 +152,8 @@
 /// the call's wait. The next call must be made early enough to be answered by then.
 #[tokio::test(start_paused = true)]
 async fn an_unanswered_call_times_out_soon_after_its_wait() {
-    for (mode, min_wait) in [(POLLED, 15.0), (DiscoveryMode::Push, 4.0)] {
-        let script = vec![Reply::Snapshot(5), Reply::Silence, Reply::Silence];
+    for (mode, min_wait) in [(WATCH_MODE, 15.0), (DiscoveryMode::Push, 4.0)] {
+        let script = vec![Reply::Snapshot(5), Reply::NoResponse, Reply::NoResponse];
         let calls = watch_calls(mode, Some(4), script, 3, poll_after_timeout).await;
         let unanswered = &calls[1];
         let wait = unanswered.wait();
@@ -174,7 +174,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_waits_of_calls_are_random() {
     let script = (1..9).map(Reply::Snapshot).collect();
-    let calls = watch_calls(POLLED, Some(0), script, 9, poll_after_timeout).await;
+    let calls = watch_calls(WATCH_MODE, Some(0), script, 9, poll_after_timeout).await;
     let waits: std::collections::BTreeSet<Duration> = calls.iter().map(Call::wait).collect();
     assert!(waits.len() >= 8, "{waits:?}");
     assert!(
@@ -195,7 +195,7 @@
         Reply::Reset,
         Reply::Snapshot(7),
     ];
-    let calls = watch_calls(POLLED, Some(4), script, 4, |update, poll_requested| {
+    let calls = watch_calls(WATCH_MODE, Some(4), script, 4, |update, poll_requested| {
         if update == EndpointUpdate::Snapshot {
             poll_requested.notify_one(); // the next call is open by now
         }
@@ -245,7 +245,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_delta_with_a_lower_version_a_snapshot_is_requested() {
     let script = vec![Reply::Delta(42), Reply::Delta(2), Reply::Snapshot(3)];
-    let calls = watch_calls(POLLED, Some(41), script, 4, poll_after_timeout).await;
+    let calls = watch_calls(WATCH_MODE, Some(41), script, 4, poll_after_timeout).await;
     let expected = [
         "/api/targets?after=41",
         "/api/targets?after=42",
@@ -269,7 +269,7 @@
     let (events, _updates) = mpsc::unbounded_channel();
     let (call_sender, mut received) = mpsc::unbounded_channel();
     // The balancer requests no poll.
-    let watcher = watcher(POLLED, Some(5), Rc::default(), events);
+    let watcher = watcher(WATCH_MODE, Some(5), Rc::default(), events);
     let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     let (address_sender, addresses) = watch::channel(unused_address);
     let local = tokio::task::LocalSet::new();
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -215,7 +215,7 @@
         if let Some(response) = result.response.take() {
             pending.respond(FinalResponse::Served(response));
         }
-        let settled = !pending.is_owed_response();
+        let settled = !pending.awaits_response();
         if result.connection_rejected {
             self.balancer.report(Event::ConnectionRejected {
                 idle_connections: self.pool.idle_connections() as u32,
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -50,7 +50,7 @@
         };
         // After the balancer's decision, the request may have been settled, or the backend may
         // have started to drain or been removed.
-        let settled = !pending.is_owed_response();
+        let settled = !pending.awaits_response();
         let may_send = !settled && pending.deadline > now;
         match self.upstreams.accepting(backend) {
             Some(upstream) if may_send => {
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -26,7 +26,7 @@
 
 impl PendingRequest {
     /// Whether the client still waits for a response.
-    pub fn is_owed_response(&self) -> bool {
+    pub fn awaits_response(&self) -> bool {
         self.reply.is_some()
     }
 
@@ -186,7 +186,7 @@
         let Some(attempt) = self.remove_attempt(id) else {
             return;
         };
-        let settled = !self.is_owed_response(id.request);
+        let settled = !self.awaits_response(id.request);
         balancer.report(attempt.abort(now, AbortReason::Cancelled, settled));
         self.mark_if_finished(id.request);
     }
@@ -201,7 +201,7 @@
             let Some(pending) = self.requests.get_mut(&request) else {
                 continue;
             };
-            let settled = !pending.is_owed_response();
+            let settled = !pending.awaits_response();
             for (_, attempt) in pending.attempts.drain() {
                 balancer.report(attempt.abort(now, AbortReason::DeadlineExceeded, settled));
             }
@@ -219,7 +219,7 @@
     pub fn pop_overdue(&mut self, now: Time) -> Option<RequestId> {
         while self.next_grace_end().is_some_and(|at| at <= now) {
             let DueTime { request, .. } = self.grace_ends.pop_front()?;
-            if self.is_owed_response(request) {
+            if self.awaits_response(request) {
                 return Some(request);
             }
         }
@@ -258,10 +258,10 @@
         self.finished.clear();
     }
 
-    fn is_owed_response(&self, request: RequestId) -> bool {
+    fn awaits_response(&self, request: RequestId) -> bool {
         self.requests
             .get(&request)
-            .is_some_and(PendingRequest::is_owed_response)
+            .is_some_and(PendingRequest::awaits_response)
     }
 
     /// Marks a request for removal if it is settled and has no attempts in flight.
