--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// The exponential backoff after failed calls.
+/// The exponential backoff after failed calls to the agent.
 struct Backoff {
     next: Duration,
 }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -11,7 +11,7 @@
 //! - `pending_requests` holds the pending requests.
 //! - `in_flight_attempt` starts and aborts the attempts of a request.
 //! - `upstreams` holds the backends on the endpoint list.
-//! - `wakeup_timer` wakes the event loop when a tick or a deadline is due.
+//! - `wakeup_timer` wakes the event loop when scheduled work, such as a tick, is due.
 
 use crate::backend_response::AttemptResult;
 use crate::clock::Clock;
@@ -152,9 +152,9 @@
         self.pending.expire_deadlines(now, &mut self.balancer);
         if now >= self.balancer.next_tick() {
             self.run_tick(now);
-            // Overdue requests are failed after the tick, not before it. After a late wake-up, a
-            // deadline and the tick are due at the same time. If the request had less than a tick
-            // left, the balancer responds to it in that tick.
+            // Overdue requests are failed after the tick, not before it. After a late wake-up,
+            // deadlines and the tick are handled at the same time. If a request had less than a
+            // tick left, it is in this tick that the balancer responds to it.
             self.fail_overdue(now);
         }
     }
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -69,7 +69,8 @@
         self.driver.handle_event(event);
     }
 
-    /// Dispatches the request to the backend, and lets the attempt's task run, which would connect.
+    /// Dispatches the request to the backend. If that starts an attempt, lets its task run until it
+    /// connects.
     async fn dispatch(&mut self) {
         let local = tokio::task::LocalSet::new();
         local
@@ -113,7 +114,7 @@
 /// A listener whose `accept` fails immediately if no connection is waiting.
 fn nonblocking_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.set_nonblocking(true).expect("set");
+    listener.set_nonblocking(true).expect("non-blocking mode");
     listener
 }
 
--- a/crates/proxy/src/driver/wakeup_timer.rs
+++ b/crates/proxy/src/driver/wakeup_timer.rs
@@ -1,4 +1,4 @@
-//! Wakes the event loop when a tick or a deadline is due and no event arrives before.
+//! Wakes the event loop when scheduled work, such as a tick, is due and no event arrives before.
 
 use crate::clock::Clock;
 use brookstack_balancer::Time;
