--- a/crates/proxy/src/attempt/tests.rs
+++ b/crates/proxy/src/attempt/tests.rs
@@ -8,22 +8,22 @@
 use std::sync::mpsc;
 use std::thread::JoinHandle;
 
-/// A backend that sends a second, unrequested response on its first connection, and then serves
-/// another connection.
-struct SurplusBackend {
+/// A backend that sends a second, unsolicited response on its first connection, and then serves one
+/// request on another connection.
+struct UnsolicitedResponseBackend {
     address: SocketAddr,
     first_response_read: mpsc::Sender<()>,
-    surplus_written: mpsc::Receiver<()>,
-    /// Returns the number of bytes that came on the first connection after its first request.
+    second_response_written: mpsc::Receiver<()>,
+    /// Returns the number of bytes that arrived on the first connection after its first request.
     thread: JoinHandle<usize>,
 }
 
-impl SurplusBackend {
-    fn start() -> SurplusBackend {
+impl UnsolicitedResponseBackend {
+    fn start() -> UnsolicitedResponseBackend {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let (first_response_read, response_read) = mpsc::channel();
-        let (written, surplus_written) = mpsc::channel();
+        let (written, second_response_written) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let response = |body| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{body}");
             let mut first = listener.accept().expect("a connection").0;
@@ -35,23 +35,25 @@
             let mut second = listener.accept().expect("another connection").0;
             read_request(&mut second);
             second.write_all(response("2").as_bytes()).expect("written");
-            // A socket that was closed with the surplus unread is reset.
+            // The read fails if the proxy closed the socket without reading the unsolicited
+            // response, because the kernel then resets the connection.
             first.read(&mut [0]).unwrap_or(0)
         });
-        SurplusBackend {
+        UnsolicitedResponseBackend {
             address,
             first_response_read,
-            surplus_written,
+            second_response_written,
             thread,
         }
     }
 }
 
-/// Bytes that a backend sends after its response must not become the next response, even if the
-/// runtime has not noticed them yet: here it does not poll its sockets between the two attempts.
+/// Bytes that a backend sends after its response must not be taken for the response to the next
+/// request, even if the runtime has not noticed them yet. In this test the runtime does not poll
+/// its sockets between the two attempts.
 #[tokio::test]
-async fn a_late_surplus_does_not_become_the_next_response() {
-    let backend = SurplusBackend::start();
+async fn an_unsolicited_response_is_not_taken_for_the_next_response() {
+    let backend = UnsolicitedResponseBackend::start();
     let clock = Clock::new();
     let second = Micros(1_000_000);
     let endpoint = resolved_endpoint(0, BackendState::Ready, backend.address);
@@ -65,19 +67,19 @@
         },
         progress: Rc::default(),
     };
-    let SurplusBackend {
+    let UnsolicitedResponseBackend {
         first_response_read,
-        surplus_written,
+        second_response_written,
         thread,
         ..
     } = backend;
     let body = |result: AttemptResult| result.response.map(Response::into_body);
-    // The attempts run in a local task, as in the proxy: the runtime goes on running woken local
-    // tasks for a while before it polls its sockets.
+    // The attempts run in a local task, as in the proxy. The runtime runs woken local tasks for a
+    // while before it polls its sockets.
     let attempts = async move {
         let first = body(attempt.run().await);
         first_response_read.send(()).expect("the backend waits");
-        surplus_written.recv().expect("written");
+        second_response_written.recv().expect("written");
         (first, body(attempt.run().await))
     };
     let local = tokio::task::LocalSet::new();
@@ -90,6 +92,6 @@
     assert_eq!(
         thread.join().expect("no panic"),
         0,
-        "no byte of the second request on the first connection"
+        "no byte of the second request may be sent on the first connection"
     );
 }
--- a/crates/proxy/src/connection_pool/tests.rs
+++ b/crates/proxy/src/connection_pool/tests.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-/// Starts a backend and returns its address. The backend delays the responses to its first `count`
-/// requests until all of them have arrived, so that each has its own connection.
+/// Starts a backend and returns its address. The backend does not respond to its first `count`
+/// requests until all of them have arrived, so that each is sent on its own connection.
 fn start_backend(count: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -33,7 +33,7 @@
     Rc::new(Upstream::new(endpoint))
 }
 
-/// An attempt of a request without headers or body, which has 30 s for its response.
+/// An attempt for a request without headers or body, with a deadline in 30 s.
 fn attempt(pool: &Rc<ConnectionPool>, upstream: &Rc<Upstream>) -> Attempt {
     Attempt {
         pool: pool.clone(),
@@ -47,20 +47,20 @@
     }
 }
 
-/// Of many upstreams only those that hold idle connections are visited, and each of those stays on
-/// the pool's list until it holds none.
+/// The pool must visit only the upstreams that have idle connections, a few of many. Each of them
+/// must stay on the pool's list until it has no idle connections.
 #[tokio::test]
 async fn only_upstreams_with_idle_connections_are_visited() {
     let clock = Clock::new();
     let second = Micros(1_000_000);
     let pool = Rc::new(ConnectionPool::new(clock, second, second.times(600.0), 64));
-    let one = upstream(1, start_backend(1));
-    let three = upstream(2, start_backend(3));
+    let with_one = upstream(1, start_backend(1));
+    let with_three = upstream(2, start_backend(3));
     let _unused: Vec<_> = (3..1000)
         .map(|id| upstream(id, SocketAddr::from(([127, 0, 0, 1], 9))))
         .collect();
     let local = tokio::task::LocalSet::new();
-    let attempts = [&one, &three, &three, &three].map(|upstream| {
+    let attempts = [&with_one, &with_three, &with_three, &with_three].map(|upstream| {
         let attempt = attempt(&pool, upstream);
         local.spawn_local(async move { attempt.run().await.outcome })
     });
@@ -68,19 +68,23 @@
         for attempt in attempts {
             assert_eq!(attempt.await.expect("no panic"), Outcome::Success);
         }
-        let idle_and_holders = || {
-            let holders = pool.idle_holders.borrow().len();
-            (pool.idle_connections(), holders)
+        let idle_and_upstream_counts = || {
+            let upstream_count = pool.upstreams_with_idle.borrow().len();
+            (pool.idle_connections(), upstream_count)
         };
-        assert_eq!(idle_and_holders(), (4, 2));
+        assert_eq!(idle_and_upstream_counts(), (4, 2));
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (4, 2), "they are alive and are kept");
-        three.close_to_new_requests();
+        assert_eq!(
+            idle_and_upstream_counts(),
+            (4, 2),
+            "open connections are kept"
+        );
+        with_three.close_to_new_requests();
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (1, 1));
-        assert_eq!(pool.close_idle(5), Some(one.target.address));
+        assert_eq!(idle_and_upstream_counts(), (1, 1));
+        assert_eq!(pool.close_idle(5), Some(with_one.target.address));
         pool.close_expired().await;
-        assert_eq!(idle_and_holders(), (0, 0));
+        assert_eq!(idle_and_upstream_counts(), (0, 0));
     };
     local.run_until(check).await;
 }
