--- a/crates/balancer/tests/common/builders.rs
+++ b/crates/balancer/tests/common/builders.rs
@@ -2,20 +2,21 @@
 
 use brookstack_balancer::*;
 
-/// A span of so many milliseconds.
+/// A time span in milliseconds.
 pub const fn millis(count: u64) -> Micros {
     Micros(count * 1_000)
 }
 
-/// A span of so many seconds.
+/// A time span in seconds.
 pub const fn seconds(count: u64) -> Micros {
     Micros(count * 1_000_000)
 }
 
-/// A proxy that does not poll discovery counts as notified of a change after this time.
+/// The setting `poll_within` of [`watching_config`]: a proxy that does not poll discovery counts as
+/// notified of a change after this time.
 pub const POLL_WITHIN: Micros = seconds(10);
 
-/// A ready backend with the example weight; its cell is one of the two of its zone.
+/// A ready backend of weight 1 in one of the two cells of its zone.
 pub fn backend(id: u32, zone: u32, machine_type: u32) -> Endpoint {
     Endpoint {
         id: BackendId(u64::from(id)),
@@ -28,19 +29,19 @@
     }
 }
 
-/// So many backends of one machine type in zone 0.
+/// `count` backends of one machine type in zone 0.
 pub fn backends(count: u32) -> Vec<Endpoint> {
     (0..count).map(|id| backend(id, 0, 0)).collect()
 }
 
-/// So many backends of one machine type, assigned to the zones in turn.
+/// `count` backends of one machine type, assigned to the zones in turn.
 pub fn backends_across_zones(count: u32, zone_count: u32) -> Vec<Endpoint> {
     (0..count)
         .map(|id| backend(id, id % zone_count, 0))
         .collect()
 }
 
-/// So many backends in zone 0, alternating between the machine types 0 and 1.
+/// `count` backends in zone 0, alternating between the machine types 0 and 1.
 pub fn backends_of_two_machine_types(count: u32) -> Vec<Endpoint> {
     (0..count).map(|id| backend(id, 0, id % 2)).collect()
 }
@@ -56,7 +57,7 @@
     }
 }
 
-/// The example configuration with these classes.
+/// The example configuration with the given classes.
 pub fn config_with_classes(classes: Vec<Class>) -> Config {
     Config {
         classes,
@@ -64,12 +65,12 @@
     }
 }
 
-/// The example configuration with one class, of this idempotency.
+/// The example configuration with one class of the given idempotency.
 pub fn config_with_class(idempotency: Idempotency) -> Config {
     config_with_classes(vec![class(idempotency)])
 }
 
-/// The example configuration for one of so many proxies.
+/// The example configuration for one of `proxy_count` proxies.
 pub fn config_with_proxies(proxy_count: u32) -> Config {
     Config {
         proxy_count,
@@ -77,7 +78,7 @@
     }
 }
 
-/// The configuration of one of so many proxies that watch discovery.
+/// The example configuration for one of `proxy_count` proxies that watch discovery.
 pub fn watching_config(proxy_count: u32, proxy_index: u32) -> Config {
     let discovery = DiscoveryMode::Watch {
         poll_within: POLL_WITHIN,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the integration tests share: a test host, builders of configurations and endpoint lists,
-//! and traffic loops.
+//! Code shared by the integration tests: a test host, builders of configurations and endpoint
+//! lists, and traffic loops.
 #![allow(
     dead_code,
-    reason = "every test file compiles this module for itself and uses only a part of it"
+    reason = "each test crate compiles this module separately and uses only a part of it"
 )]
 
 pub mod builders;
--- a/crates/balancer/tests/common/records.rs
+++ b/crates/balancer/tests/common/records.rs
@@ -1,21 +1,21 @@
-//! What the test host remembers of requests and their attempts.
+//! The test host's records of requests and their attempts.
 
 use brookstack_balancer::*;
 
-/// How a request came to its end.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// A backend's response went to the client.
+    /// A backend's response was returned to the client.
     Served,
     /// The balancer rejected the request.
     Rejected,
     /// The balancer failed the request.
     Failed,
-    /// The client disconnected first.
+    /// The client disconnected before it received a final response.
     ClientDisconnected,
 }
 
-/// An attempt that the balancer has dispatched.
+/// An attempt that the balancer dispatched.
 #[derive(Clone)]
 pub struct AttemptRecord {
     /// The backend that it was dispatched to.
@@ -31,7 +31,7 @@
 }
 
 impl AttemptRecord {
-    /// An attempt dispatched just now.
+    /// Records an attempt that is dispatched at `now`.
     pub fn new(endpoint: &Endpoint, now: Time) -> AttemptRecord {
         AttemptRecord {
             backend: endpoint.id,
@@ -42,17 +42,18 @@
         }
     }
 
-    /// Whether it has not ended.
+    /// Whether the attempt has not ended yet.
     pub fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Whether no outcome proves that the backend did not execute it.
+    /// Whether the backend may have executed the attempt: no outcome proves the opposite.
     pub fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.not_executed())
     }
 
-    /// Checks that another attempt may follow this one, which the backend may have executed.
+    /// Checks that a retry on the backend `next` is safe. The backend of this attempt may have
+    /// executed it.
     pub fn check_retry_is_safe(&self, idempotency: Idempotency, next: &Endpoint, now: Time) {
         match idempotency {
             Idempotency::Idempotent => {}
@@ -74,27 +75,27 @@
     }
 }
 
-/// A request that the host has reported to the balancer.
+/// A request that the host reported to the balancer.
 pub struct RequestRecord {
     /// Index of its traffic class.
     pub class: usize,
     /// When the client gives up.
     pub deadline: Time,
-    /// Its attempts in the order of dispatch.
+    /// Its attempts, in the order of dispatch.
     pub attempts: Vec<AttemptRecord>,
-    /// Whether a response has begun to stream to the client.
+    /// Whether a response is being streamed to the client.
     pub streaming: bool,
-    /// How it came to its end; `None` while it is open.
+    /// How it ended; `None` while it is open.
     pub completion: Option<Completion>,
 }
 
 impl RequestRecord {
-    /// Whether the client still waits for the start of a response.
+    /// Whether the client is still waiting for the start of a response.
     pub fn awaits_response(&self) -> bool {
         self.completion.is_none() && !self.streaming
     }
 
-    /// Whether a backend may have executed one of its attempts.
+    /// Whether a backend may have executed one of the attempts.
     pub fn may_have_executed(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::may_have_executed)
     }
@@ -102,6 +103,6 @@
     /// Records the final response and checks that it is the only one.
     pub fn complete(&mut self, completion: Completion) {
         let earlier = self.completion.replace(completion);
-        assert!(earlier.is_none(), "two final responses");
+        assert!(earlier.is_none(), "a request got two final responses");
     }
 }
--- a/crates/balancer/tests/common/test_host.rs
+++ b/crates/balancer/tests/common/test_host.rs
@@ -1,5 +1,5 @@
-//! A host for one balancer: it carries out the balancer's actions and checks the balancer's
-//! guarantees as it goes.
+//! A host for one balancer. It carries out the balancer's actions and checks with each action that
+//! the balancer keeps its guarantees.
 
 mod actions;
 mod clock;
@@ -11,7 +11,7 @@
 use brookstack_balancer::*;
 use std::collections::BTreeMap;
 
-/// The seed of a host's balancer where a test gives none.
+/// The seed of the balancer if a test gives none.
 const DEFAULT_SEED: u64 = 11;
 
 /// A timer that the balancer has set.
@@ -22,8 +22,8 @@
 
 /// A host for one balancer on a simulated clock.
 ///
-/// An attempt is named by its request and by its number within the request, from 0 in the order of
-/// dispatch.
+/// An attempt is identified by its request and by its number within the request. Attempts are
+/// numbered from 0 in the order of dispatch.
 pub struct TestHost {
     /// The balancer's configuration.
     pub config: Config,
@@ -31,31 +31,31 @@
     pub now: Time,
     /// All requests so far.
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    /// How often the balancer has polled discovery.
+    /// How many times the balancer has polled discovery.
     pub polls: u32,
-    /// The present limit on idle connections.
+    /// The current limit on idle connections.
     pub idle_connection_limit: u32,
-    /// What the balancer has reported to the log so far.
+    /// The log events of the balancer so far.
     pub logs: Vec<LogEvent>,
-    /// The actions that the last event caused.
+    /// The actions that the balancer returned for the last event.
     pub last_actions: Vec<Action>,
     /// Whether new requests are marked as a client's retries.
     pub requests_are_retries: bool,
-    /// When the connections were established on which attempts are sent; `None` if that is not
-    /// reported.
+    /// When the connections that attempts are sent on were established, as the host reports it;
+    /// `None` if it reports no time.
     pub connected_at: Option<Time>,
     balancer: Balancer,
-    /// The endpoint list as last updated.
+    /// The endpoint list after the last update.
     endpoints: BTreeMap<BackendId, Endpoint>,
     /// Timers that have not fired.
     timers: Vec<PendingTimer>,
-    /// Attempts that the balancer has cancelled and whose end is still to be reported.
+    /// Attempts that the balancer has cancelled and whose end has not been reported yet.
     cancelled: Vec<(RequestId, usize)>,
     last_request_number: u64,
 }
 
 impl TestHost {
-    /// A host whose balancer has no endpoint list yet.
+    /// Creates a host whose balancer has no endpoint list yet.
     pub fn new(config: Config, seed: u64) -> TestHost {
         let balancer = Balancer::new(config.clone(), seed).expect("a valid configuration");
         TestHost {
@@ -76,20 +76,20 @@
         }
     }
 
-    /// A host whose balancer has received a snapshot of this endpoint list.
+    /// Creates a host whose balancer has received a snapshot of the endpoint list.
     pub fn with_endpoints(config: Config, endpoints: Vec<Endpoint>) -> TestHost {
         TestHost::with_seed(config, DEFAULT_SEED, endpoints)
     }
 
-    /// As [`TestHost::with_endpoints`], with a seed for the balancer's random generator.
+    /// Like [`TestHost::with_endpoints`], with a seed for the balancer's random number generator.
     pub fn with_seed(config: Config, seed: u64, endpoints: Vec<Endpoint>) -> TestHost {
         let mut host = TestHost::new(config, seed);
         host.update_endpoints(EndpointUpdate::Snapshot, endpoints);
         host
     }
 
-    /// One of a hundred proxies in front of sixty backends in two zones: it sees little of any
-    /// backend.
+    /// Creates one of a hundred proxies with sixty backends in two zones. Each backend receives
+    /// only a small part of its requests from this proxy.
     pub fn one_of_a_hundred_proxies() -> TestHost {
         let config = Config {
             proxy_count: 100,
@@ -122,7 +122,7 @@
         self.handle_event(Event::EndpointsUpdated { update, endpoints });
     }
 
-    /// Reports how a watch goes on, without any entries of the endpoint list.
+    /// Reports a change of the watch's state, without any entries of the endpoint list.
     pub fn update_watch(&mut self, update: EndpointUpdate) {
         self.handle_event(Event::EndpointsUpdated {
             update,
--- a/crates/balancer/tests/common/test_host/actions.rs
+++ b/crates/balancer/tests/common/test_host/actions.rs
@@ -1,11 +1,12 @@
-//! Carries out the balancer's actions and checks the balancer's guarantees on each of them.
+//! Carries out the balancer's actions and checks with each of them that the balancer keeps its
+//! guarantees.
 
 use super::{PendingTimer, TestHost};
 use crate::common::records::{AttemptRecord, Completion, RequestRecord};
 use brookstack_balancer::*;
 
 impl TestHost {
-    /// Carries out an action and checks the guarantees that concern it.
+    /// Carries out an action and checks the guarantees that apply to it.
     pub(super) fn apply(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, backend } => self.dispatch(request, backend),
@@ -23,7 +24,7 @@
                 assert_ne!(
                     self.config.discovery,
                     DiscoveryMode::Push,
-                    "polled though updates are pushed"
+                    "polled discovery although updates are pushed"
                 );
                 self.polls += 1;
             }
@@ -39,7 +40,7 @@
         let endpoint = self
             .endpoints
             .get(&backend)
-            .expect("dispatch to a listed backend");
+            .expect("the backend of a dispatch is in the endpoint list");
         self.check_dispatch(request, endpoint);
         let attempt = AttemptRecord::new(endpoint, self.now);
         self.known_request(request).attempts.push(attempt);
@@ -49,10 +50,10 @@
         let record = self
             .requests
             .get(&request)
-            .expect("dispatch of a known request");
+            .expect("the host knows the request of a dispatch");
         assert!(
             record.completion.is_none(),
-            "dispatched after the final response"
+            "dispatched a request after its final response"
         );
         assert_eq!(
             endpoint.state,
@@ -61,12 +62,12 @@
         );
         assert!(
             record.attempts.len() < self.config.max_attempts as usize,
-            "too many attempts"
+            "dispatched more attempts than allowed"
         );
         let any_in_flight = record.attempts.iter().any(AttemptRecord::is_in_flight);
         assert!(
             self.config.hedging_allowed || !any_in_flight,
-            "hedged though hedging is not allowed"
+            "hedged a request although hedging is not allowed"
         );
         let idempotency = self.config.classes[record.class].idempotency;
         let earlier_attempts = record.attempts.iter();
@@ -95,7 +96,7 @@
     fn cancel(&mut self, request: RequestId, attempt: AttemptNumber) {
         assert!(
             self.config.cancellation_allowed,
-            "cancelled though cancellation is not allowed"
+            "cancelled an attempt although cancellation is not allowed"
         );
         let attempt = attempt.0 as usize;
         let dispatched = self.requests[&request].attempts.len();
--- a/crates/balancer/tests/common/test_host/clock.rs
+++ b/crates/balancer/tests/common/test_host/clock.rs
@@ -1,14 +1,14 @@
-//! The simulated clock: timers fire, attempts time out, and deadlines are checked.
+//! The simulated clock: fires timers, times out attempts and checks deadlines.
 
 use super::{PendingTimer, TestHost};
 use brookstack_balancer::*;
 
-/// How long after its deadline a request may still lack a final response.
+/// How long after its deadline a request must have a response at the latest.
 const RESPONSE_TOLERANCE: Micros = Micros(16_000);
 
 impl TestHost {
-    /// Lets time pass tick by tick: timers fire and attempts time out when due, and every deadline
-    /// is checked.
+    /// Advances the clock tick by tick. At each tick, fires the due timers, ends cancelled and
+    /// overdue attempts, and checks all deadlines.
     pub fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
@@ -51,7 +51,7 @@
             let in_time = self.now < record.deadline + RESPONSE_TOLERANCE;
             assert!(
                 !record.awaits_response() || in_time,
-                "no final response in time for {request:?}"
+                "{request:?} has no response after its deadline"
             );
         }
     }
--- a/crates/balancer/tests/common/test_host/queries.rs
+++ b/crates/balancer/tests/common/test_host/queries.rs
@@ -1,4 +1,4 @@
-//! What a test asks about requests and their attempts.
+//! Queries about requests and their attempts.
 
 use super::TestHost;
 use crate::common::records::{AttemptRecord, Completion};
@@ -21,7 +21,7 @@
         in_flight
     }
 
-    /// An attempt that has been dispatched.
+    /// The record of a dispatched attempt.
     pub fn attempt(&self, request: RequestId, attempt: usize) -> &AttemptRecord {
         &self.requests[&request].attempts[attempt]
     }
@@ -31,7 +31,7 @@
         self.now - self.attempt(request, attempt).dispatched_at
     }
 
-    /// The backends that a request's attempts were dispatched to, in this order.
+    /// The backends that a request's attempts were dispatched to, in the order of dispatch.
     pub fn backends_of(&self, request: RequestId) -> Vec<u32> {
         self.requests[&request]
             .attempts
@@ -40,12 +40,12 @@
             .collect()
     }
 
-    /// How a request came to its end; `None` while it is open.
+    /// How a request ended; `None` while it is open.
     pub fn completion(&self, request: RequestId) -> Option<Completion> {
         self.requests[&request].completion
     }
 
-    /// How many of these requests came to this end.
+    /// How many of the requests ended in the given way.
     pub fn count_completed(&self, requests: &[RequestId], completion: Completion) -> usize {
         requests
             .iter()
--- a/crates/balancer/tests/common/test_host/requests.rs
+++ b/crates/balancer/tests/common/test_host/requests.rs
@@ -1,4 +1,4 @@
-//! What clients and backends do: requests arrive, attempts end, clients disconnect.
+//! Simulated clients and backends: sends requests, ends attempts and disconnects clients.
 
 use super::TestHost;
 use crate::common::records::{AttemptRecord, Completion, RequestRecord};
@@ -43,13 +43,13 @@
         request
     }
 
-    /// Sends so many requests of class 0 at once.
+    /// Sends `count` requests of class 0 at the same time.
     pub fn send_burst(&mut self, count: usize, timeout: Micros) -> Vec<RequestId> {
         (0..count).map(|_| self.send_request(timeout)).collect()
     }
 
-    /// Reports one event of each sort that names a request, attempt or timer, with ids that the
-    /// balancer may not know.
+    /// Reports one event of each kind that refers to a request, attempt or timer, with the given
+    /// ids, which the balancer may not know.
     pub fn send_events_about(
         &mut self,
         request: RequestId,
@@ -69,7 +69,7 @@
         }));
     }
 
-    /// Ends an attempt; does nothing if it was not dispatched or has ended.
+    /// Ends an attempt; does nothing if it was never dispatched or has already ended.
     pub fn end_attempt(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
         let now = self.now;
         let Some(record) = self.requests.get_mut(&request) else {
@@ -99,8 +99,8 @@
         }));
     }
 
-    /// Begins to stream an attempt's response, if the attempt is in flight and the client still
-    /// waits for one.
+    /// Starts to stream an attempt's response if the attempt is in flight and the client is still
+    /// waiting for a response.
     pub fn start_stream(&mut self, request: RequestId, attempt: usize) {
         let Some(record) = self
             .requests
@@ -127,13 +127,13 @@
         self.handle_event(Event::ClientDisconnected { request });
     }
 
-    /// Lets time pass, then serves everything that is in flight.
+    /// Advances the clock, then ends all attempts in flight successfully.
     pub fn serve_in_flight_after(&mut self, span: Micros) {
         self.advance(span);
         self.serve_in_flight();
     }
 
-    /// Serves everything that is in flight.
+    /// Ends all attempts in flight successfully.
     pub fn serve_in_flight(&mut self) {
         for (request, attempt) in self.in_flight() {
             self.end_attempt(request, attempt, Outcome::Success);
--- a/crates/balancer/tests/common/traffic.rs
+++ b/crates/balancer/tests/common/traffic.rs
@@ -1,14 +1,14 @@
-//! Traffic loops over a test host.
+//! Loops that send requests to a test host and end their attempts.
 
 use super::builders::millis;
 use super::test_host::TestHost;
 use brookstack_balancer::*;
 
-/// The time after which a client usually gives up.
+/// The time after which a client gives up in most tests.
 pub const CLIENT_TIMEOUT: Micros = millis(900);
 
-/// Sends requests one by one; the first attempt of each succeeds after a latency that may depend on
-/// its backend. Returns the backends that they were dispatched to on arrival.
+/// Sends requests one after the other. The first attempt of each succeeds after the `latency` of
+/// its backend. Returns the backends that the requests were dispatched to on arrival.
 pub fn serve_sequentially(
     host: &mut TestHost,
     count: usize,
@@ -28,8 +28,9 @@
     chosen
 }
 
-/// Sends requests at 15 a second, each answered after 60 ms: with a backend's fault, if it has one,
-/// and at once again for each retry that follows. Returns the backends of all attempts.
+/// Sends 15 requests a second. The first attempt of each ends after 60 ms, and each retry that the
+/// balancer then dispatches ends immediately. An attempt ends with the `fault` of its backend, or
+/// succeeds if the backend has none. Returns the backends of all attempts.
 pub fn serve_steadily(
     host: &mut TestHost,
     count: usize,
@@ -50,7 +51,7 @@
     chosen
 }
 
-/// As [`serve_steadily`], with backends that have no fault.
+/// Like [`serve_steadily`], with backends that have no fault.
 pub fn serve_steadily_without_faults(host: &mut TestHost, count: usize) -> Vec<u32> {
     serve_steadily(host, count, |_| None)
 }
--- a/crates/balancer/tests/concurrency_limits.rs
+++ b/crates/balancer/tests/concurrency_limits.rs
@@ -1,5 +1,5 @@
-//! How many requests a proxy has in flight, per backend and in all, and what waits in the queue
-//! meanwhile.
+//! The limits on the requests that a proxy has in flight, per backend and in total, and the queue
+//! of the requests that exceed them.
 
 mod common;
 use brookstack_balancer::*;
@@ -10,28 +10,28 @@
 
 #[test]
 fn many_proxies_do_not_each_put_a_request_on_every_backend() {
-    // Eleven proxies, each with a minimum of one request in flight per backend, overloaded every
-    // backend.
+    // Each of eleven proxies was allowed at least one request in flight per backend. Together they
+    // overloaded every backend.
     let mut host = TestHost::with_endpoints(config_with_proxies(11), backends(22));
     host.send_burst(60, CLIENT_TIMEOUT);
     let in_flight = host.in_flight().len();
     assert!(
         (2..=14).contains(&in_flight),
-        "{in_flight} in flight on 22 backends, an even share of 4 each among 11 proxies would be 8"
+        "{in_flight} in flight on 22 backends; an even share of 4 each among 11 proxies is 8"
     );
 }
 
 #[test]
 fn with_many_proxies_every_backend_is_usable_and_the_total_is_limited() {
-    // With a limit of 4 per backend divided among hundreds of proxies, most backends had no
-    // capacity left for a given proxy, and requests were rejected beside idle backends. Each
-    // proxy's share is 4 * 40 / 320 = 0.5: a few requests may be in flight.
+    // The limit of 4 requests in flight per backend was divided among hundreds of proxies. A given
+    // proxy then had no capacity on most backends and rejected requests although backends were
+    // idle. Here each proxy's share is 4 * 40 / 320 = 0.5, so a few requests may be in flight.
     let mut host = TestHost::with_endpoints(config_with_proxies(320), backends(40));
     host.send_burst(2, CLIENT_TIMEOUT);
     assert_eq!(
         host.in_flight().len(),
         2,
-        "a request waits beside idle backends"
+        "a request waits although backends are idle"
     );
     host.send_burst(40, CLIENT_TIMEOUT);
     let in_flight = host.in_flight().len();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_backend_at_its_limit_is_passed_over_and_the_rest_waits_in_the_queue() {
+fn requests_beyond_the_limits_wait_in_the_queue_until_capacity_is_free() {
     let mut host = TestHost::with_endpoints(config_with_proxies(1), backends(2));
     host.send_burst(20, CLIENT_TIMEOUT);
     let in_flight = host.in_flight();
@@ -62,15 +62,15 @@
     assert_eq!(
         host.in_flight().len(),
         before,
-        "freed capacity is used at once"
+        "freed capacity is not used immediately"
     );
 }
 
 #[test]
 fn requests_queued_for_unresponsive_backends_are_dispatched_once_those_have_responded() {
-    // Requests that found only unresponsive backends closed the queue. Their responses came, the
-    // next look found no backend unresponsive any more, and still the queue stayed closed up to the
-    // next solution: an idle fleet held requests back.
+    // Requests that found only unresponsive backends blocked the queue. When the backends had
+    // responded, the next check found none of them unresponsive, but the queue stayed blocked until
+    // the next computation of the shares. Requests waited although the fleet was idle.
     for proxy_count in [1, 3] {
         let mut host = TestHost::with_seed(config_with_proxies(proxy_count), 7, backends(2));
         for _ in 0..60 {
@@ -85,17 +85,17 @@
         assert_eq!(
             host.backends_of(request).len(),
             1,
-            "{proxy_count} proxies: queued beside idle backends"
+            "{proxy_count} proxies: the request waits although backends are idle"
         );
     }
 }
 
 #[test]
 fn a_proxys_requests_in_flight_stay_near_its_share_on_average() {
-    // After the loss of half of the fleet a hundred proxies, each with the few requests above its
-    // share that chance allows, had twelve requests in flight on every backend that was left, until
-    // those were overloaded. Each proxy's
-    // share is 4 * 60 / 100 = 2.4.
+    // A proxy may exceed its share by a few requests to allow for random variation. After the loss
+    // of half of the fleet, each of a hundred proxies did so all the time. Every backend that was
+    // left had twelve requests in flight and became overloaded. Here each proxy's share is
+    // 4 * 60 / 100 = 2.4.
     let mut host = TestHost::one_of_a_hundred_proxies();
     let mut most = 0;
     let mut sum = 0;
@@ -112,15 +112,15 @@
         sum += if step >= 300 { in_flight } else { 0 };
     }
     let mean = sum as f64 / 300.0;
-    assert!(most >= 5, "a burst of {most} only");
+    assert!(most >= 5, "a burst reaches only {most} in flight");
     assert!((2.0..4.2).contains(&mean), "{mean} in flight on average");
 }
 
 #[test]
-fn requests_on_unresponsive_backends_leave_the_capacity_of_the_others_in_use() {
-    // Seven of sixty backends had become slow and held 106 of the 250 requests that all proxies may
-    // have in flight; new ones waited beside idle backends until they were too late. A sixth of the
-    // backends is unresponsive here.
+fn requests_on_unresponsive_backends_do_not_use_up_the_capacity_of_the_others() {
+    // Seven of sixty backends became slow and had 106 of the 250 requests in flight that all
+    // proxies together may have. New requests waited, although backends were idle, until they were
+    // too late. Here a sixth of the backends is unresponsive.
     let mut host = TestHost::one_of_a_hundred_proxies();
     serve_steadily_without_faults(&mut host, 60);
     let mut queued = 0;
@@ -136,5 +136,8 @@
             }
         }
     }
-    assert!(queued <= 60, "{queued} of 300 were not dispatched at once");
+    assert!(
+        queued <= 60,
+        "{queued} of 300 were not dispatched within 40 ms"
+    );
 }
--- a/crates/balancer/tests/configuration.rs
+++ b/crates/balancer/tests/configuration.rs
@@ -2,10 +2,10 @@
 
 use brookstack_balancer::*;
 
-/// A change of the example configuration.
+/// A change to the example configuration.
 type Change = fn(&mut Config);
 
-/// The setting that an error names when a balancer is created with this change.
+/// The setting named by the error if a balancer cannot be created with this change.
 fn rejected_setting(change: Change) -> Option<&'static str> {
     let mut config = Config::example();
     change(&mut config);
--- a/crates/balancer/tests/discovery_watch.rs
+++ b/crates/balancer/tests/discovery_watch.rs
@@ -1,4 +1,7 @@
 //! When a proxy polls discovery, and for how long it trusts its endpoint list.
+//!
+//! A proxy counts as notified of a change at the latest 6 s after discovery had the change and
+//! could be polled, even if no response reached the proxy. From then on, its list is stale.
 
 mod common;
 use brookstack_balancer::*;
@@ -6,10 +9,10 @@
 use common::test_host::TestHost;
 use common::traffic::*;
 
-/// How long a test waits for a poll before it fails.
+/// Longest time that a test waits for a poll before it fails.
 const MAX_WAIT: Micros = seconds(40);
 
-/// One of so many proxies that watch discovery, started with a cached list of sixty backends.
+/// Starts one of `proxy_count` proxies that watch discovery, with a cached list of sixty backends.
 fn host_with_cached_list(proxy_count: u32, proxy_index: u32) -> TestHost {
     let mut host = TestHost::new(
         watching_config(proxy_count, proxy_index),
@@ -19,31 +22,35 @@
     host
 }
 
-/// As [`host_with_cached_list`]; the proxy has polled, and no response has arrived yet.
+/// Starts a proxy like [`host_with_cached_list`] and advances to its first poll, which has no
+/// response yet.
 fn polling_host(proxy_count: u32, proxy_index: u32) -> TestHost {
     let mut host = host_with_cached_list(proxy_count, proxy_index);
     advance_to_next_poll(&mut host);
     host
 }
 
-/// Lets time pass up to the next poll of discovery; returns how long that took.
+/// Advances the clock to the next poll of discovery; returns the time until then.
 fn advance_to_next_poll(host: &mut TestHost) -> Micros {
     let polls = host.polls;
     let start = host.now;
     while host.polls == polls {
-        assert!(host.now - start < MAX_WAIT, "it never polls again");
+        assert!(
+            host.now - start < MAX_WAIT,
+            "the proxy did not poll again within {MAX_WAIT:?}"
+        );
         host.advance(host.config.tick);
     }
     host.now - start
 }
 
-/// Lets a poll fail after a time in which the service did not respond.
+/// Lets the pending poll fail after `span`, without a response before.
 fn fail_poll_after(host: &mut TestHost, span: Micros) {
     host.advance(span);
     host.update_watch(EndpointUpdate::WatchFailed);
 }
 
-/// Waits for the next poll and lets it fail; returns when it came.
+/// Advances to the next poll and lets it fail after `fail_after`; returns when it was sent.
 fn fail_next_poll(host: &mut TestHost, fail_after: Micros) -> Time {
     advance_to_next_poll(host);
     let polled_at = host.now;
@@ -51,27 +58,27 @@
     polled_at
 }
 
-/// Establishes the watch and breaks it 12 s later.
+/// Establishes the watch and lets it fail 12 s later.
 fn break_established_watch(host: &mut TestHost) {
     host.update_watch(EndpointUpdate::Delta);
     fail_poll_after(host, seconds(12));
 }
 
-/// The most of these moments that fall into one second.
-fn most_in_a_second(mut moments: Vec<Time>) -> usize {
-    moments.sort();
+/// The largest number of these times that lie within one second.
+fn max_per_second(mut times: Vec<Time>) -> usize {
+    times.sort();
     let in_second_from = |index: usize| {
-        let start = moments[index];
-        moments[index..]
+        let start = times[index];
+        times[index..]
             .iter()
-            .filter(|moment| **moment - start < seconds(1))
+            .filter(|time| **time - start < seconds(1))
             .count()
     };
-    (0..moments.len()).map(in_second_from).max().unwrap_or(0)
+    (0..times.len()).map(in_second_from).max().unwrap_or(0)
 }
 
 #[test]
-fn discovery_is_polled_at_once_and_again_after_a_failure() {
+fn discovery_is_polled_at_the_start_after_a_failure_and_after_an_unanswered_poll() {
     let mut host = TestHost::new(watching_config(3, 0), 3);
     host.update_endpoints(EndpointUpdate::Cached, backends(2));
     assert_eq!(host.polls, 1);
@@ -79,54 +86,58 @@
     host.advance(seconds(8));
     assert_eq!(
         host.polls, 1,
-        "polled again though the watch is established"
+        "polled again although the watch is established"
     );
     host.update_watch(EndpointUpdate::WatchFailed);
     host.advance(millis(400));
     assert_eq!(host.polls, 2);
     host.advance(seconds(6));
-    assert_eq!(host.polls, 3, "a poll without a response is not repeated");
+    assert_eq!(host.polls, 3, "a poll without a response was not repeated");
 }
 
 #[test]
 fn a_hundred_proxies_that_start_together_spread_their_polls() {
-    // A release restarted seventy proxies: all polled at once, all waited in discovery's queue past
-    // their time-out, all polled again within a second, and as long as they did nobody received a
-    // list.
+    // A release restarted seventy proxies. All of them polled at the same time, waited in
+    // discovery's queue until their polls timed out, and polled again within a second. While this
+    // went on, no proxy received a list.
     let mut first = Vec::new();
     let mut second = Vec::new();
     let mut third_after = Vec::new();
     for proxy_index in 0..100 {
         let mut host = host_with_cached_list(100, proxy_index);
-        assert_eq!(host.polls, 0, "the cached list suffices for the moment");
+        assert_eq!(
+            host.polls, 0,
+            "polled at the start although there is a cached list"
+        );
         let start = host.now;
         first.push(fail_next_poll(&mut host, seconds(2)));
         let since_start = (host.now - start).secs();
         assert!(
             since_start < POLL_WITHIN.secs() + 2.0,
-            "it counts as notified before it polls"
+            "the proxy counts as notified before its first poll"
         );
         second.push(fail_next_poll(&mut host, millis(10)));
         let second_failed_at = host.now;
         let third = fail_next_poll(&mut host, millis(10));
         third_after.push(third - second_failed_at);
     }
-    assert!(most_in_a_second(first) <= 30, "first polls");
+    assert!(max_per_second(first) <= 30, "first polls");
     assert!(
-        most_in_a_second(second) <= 30,
-        "polls after one that waited in the queue"
+        max_per_second(second) <= 30,
+        "polls after a poll that failed in the queue"
     );
     assert!(
         third_after.iter().all(|wait| *wait < seconds(5)),
-        "it takes too long to find a service that was down"
+        "a proxy polls too late after a service that was down has returned"
     );
 }
 
 #[test]
-fn a_watch_that_timed_out_is_reopened_at_once_by_few_and_by_many_proxies() {
-    // Six proxies whose watches became unresponsive took the time-out for a poll that had waited in
-    // the queue and polled 0.2 to 0.7 s later, past the moment from which the drains that they had
-    // missed counted as notified. Three hundred would have polled half a minute later.
+fn a_watch_that_timed_out_is_reopened_immediately_whatever_the_number_of_proxies() {
+    // The timeout of an unresponsive watch was treated like that of a poll that had waited in
+    // discovery's queue. Six proxies polled 0.2 to 0.7 s after it, when they already counted as
+    // notified of the drains that the watch had missed. Three hundred proxies would have polled
+    // half a minute after it.
     for proxy_count in [1, 6, 300] {
         for was_established in [false, true] {
             let mut host = polling_host(proxy_count, 0);
@@ -146,8 +157,9 @@
 }
 
 #[test]
-fn a_broken_watch_is_reopened_before_changes_count_as_notified_and_not_by_all_at_once() {
-    // An established watch that was reset counted as a poll that had waited in the queue.
+fn broken_watches_are_reopened_before_changes_count_as_notified_and_at_spread_times() {
+    // The failure of an established watch was treated like that of a poll that had waited in
+    // discovery's queue.
     let mut polled_at = Vec::new();
     for proxy_index in 0..300 {
         let mut host = polling_host(300, proxy_index);
@@ -155,7 +167,7 @@
         let wait = advance_to_next_poll(&mut host);
         polled_at.push(Time(wait.0));
     }
-    // A change counts as notified 6 s after discovery had it: a second of that is left for the
+    // A proxy counts as notified 6 s after discovery had a change. A second of that is left for the
     // response.
     assert!(
         polled_at.iter().all(|at| *at <= Time(5_010_000)),
@@ -163,22 +175,22 @@
         polled_at.iter().max()
     );
     assert!(
-        most_in_a_second(polled_at) <= 78,
-        "polls are not spread over that time"
+        max_per_second(polled_at) <= 78,
+        "the polls are not spread over the 5 s"
     );
     let mut host = polling_host(3, 0);
     break_established_watch(&mut host);
     assert!(
         advance_to_next_poll(&mut host).secs() <= 0.2,
-        "a few proxies need not spread their polls"
+        "three proxies spread their polls, which only large fleets need"
     );
 }
 
 #[test]
 fn polls_that_fail_in_the_queue_are_repeated_within_the_time_that_empties_it() {
-    // The backoff doubled to two rounds of all proxies, 24 to 72 s with three hundred. A proxy may
-    // use its list for 6 s only, so that none may wait longer than the service needs for all;
-    // sooner would keep the queue full.
+    // The backoff doubled up to two rounds of polls of all proxies: 24 to 72 s with three hundred
+    // proxies. A proxy may use its list for only 6 s, so no proxy may wait longer than the service
+    // needs for the polls of all. Earlier polls would keep the queue full.
     let mut first = Vec::new();
     let mut second = Vec::new();
     for proxy_index in 0..300 {
@@ -195,20 +207,20 @@
         }
     }
     assert!(
-        most_in_a_second(first) <= 40,
-        "a service that handles one in 30 ms does not empty its queue"
+        max_per_second(first) <= 40,
+        "too many polls a second for a service that needs 30 ms for each"
     );
     assert!(
-        most_in_a_second(second) <= 25,
-        "a service that handles one in 80 ms does not empty its queue"
+        max_per_second(second) <= 25,
+        "too many polls a second for a service that needs 80 ms for each"
     );
 }
 
 #[test]
-fn a_request_before_the_cached_list_does_not_make_the_list_untrusted() {
-    // The time of the start was taken with the list only: where a request came first, the list
-    // counted as never fresh, and the proxy rejected all requests until its first poll was
-    // answered.
+fn a_request_before_the_cached_list_does_not_make_the_list_stale() {
+    // The time of the process start was recorded only when the cached list arrived. If a request
+    // arrived before it, the list never counted as fresh, and the proxy rejected all requests until
+    // its first poll was answered.
     let mut host = TestHost::new(watching_config(30, 0), 3);
     host.send_request(CLIENT_TIMEOUT);
     host.update_endpoints(EndpointUpdate::Cached, backends(60));
@@ -223,9 +235,9 @@
 
 #[test]
 fn a_poll_that_times_out_does_not_make_the_list_fresh() {
-    // A poll for the complete list may not be held open and times out after 3.5 s. It counted as an
-    // established watch, again and again, so that a proxy that was not notified of anything used
-    // whatever its old list named.
+    // The host does not hold a poll for the complete list open: it times out after 3.5 s. Each such
+    // poll counted as an established watch, so a proxy that received no updates at all kept
+    // dispatching to the backends of its old list.
     let mut host = polling_host(6, 0);
     for _ in 0..4 {
         host.advance(millis(3_500));
@@ -235,7 +247,7 @@
     host.advance(millis(100));
     assert!(
         host.backends_of(request).is_empty(),
-        "dispatched 14 s after the last that was known of any backend"
+        "dispatched on a list that is 14 s old"
     );
     host.update_watch(EndpointUpdate::Delta);
     let request = host.send_request(CLIENT_TIMEOUT);
@@ -243,11 +255,12 @@
     assert_eq!(
         host.backends_of(request).len(),
         1,
-        "not dispatched though the proxy has been notified"
+        "not dispatched although the proxy has received an update"
     );
 }
 
-/// A proxy whose polls were rejected in an outage of discovery, up to the last one now.
+/// A proxy whose polls were rejected during an outage of discovery of at least 8 s; the last one is
+/// rejected now.
 fn host_after_outage() -> TestHost {
     let mut host = polling_host(300, 0);
     host.update_watch(EndpointUpdate::Delta);
@@ -260,9 +273,10 @@
     host
 }
 
-/// Requests a second apart, served at once on connections of that age, while no poll is answered.
-/// Returns whether the last one, 7 s after the last rejected poll, was dispatched.
-fn is_served_on_stale_list(host: &mut TestHost, connected_at: Time) -> bool {
+/// Sends a request every second while no poll is answered. Each is served 10 ms later, on a
+/// connection that was established at `connected_at`. Returns whether the last request, up to 7 s
+/// after the last rejected poll, was dispatched.
+fn is_dispatched_on_stale_list(host: &mut TestHost, connected_at: Time) -> bool {
     let outage_end = host.now;
     host.connected_at = Some(connected_at);
     let mut is_dispatched = false;
@@ -277,15 +291,15 @@
 
 #[test]
 fn a_stale_list_is_not_trusted_for_a_process_that_started_after_it() {
-    // A backend drained after an outage of discovery, ended, and came back. A proxy whose polls
-    // still waited in discovery's queue went on sending to it, because it had accepted requests
-    // lately. But the proxy counted as notified of the drain and not yet of the return. This test
-    // alone has shown the fault, no play of a bench has.
+    // After an outage of discovery a backend drained, its process ended, and a new process started.
+    // A proxy whose polls were still in discovery's queue went on sending to the backend, because
+    // it had recently accepted requests. But the proxy counted as notified of the drain and not yet
+    // of the return. Only this test has shown the fault; no benchmark run has.
     let mut host = host_after_outage();
     let restarted_at = host.now + seconds(3);
     assert!(
-        !is_served_on_stale_list(&mut host, restarted_at),
-        "dispatched to a process that no list has named"
+        !is_dispatched_on_stale_list(&mut host, restarted_at),
+        "dispatched to a process that is on no list that the proxy received"
     );
 }
 
@@ -293,16 +307,17 @@
 fn a_stale_list_is_trusted_for_a_process_that_was_connected_long_before_it() {
     let mut host = host_after_outage();
     let long_before = Time(host.now.0 - seconds(20).0);
-    assert!(is_served_on_stale_list(&mut host, long_before));
+    assert!(is_dispatched_on_stale_list(&mut host, long_before));
 }
 
 #[test]
 fn a_stale_list_is_not_trusted_for_a_backend_that_may_have_accepted_requests_while_it_drained() {
     // Discovery listed 30 backends as draining, and they went on accepting requests for 2.1 s. A
-    // proxy whose polls were not answered took its last accepted request for proof that the backend
-    // had not been draining then, and sent to it for 6 s from that request on: up to 2.1 s after the
-    // drain counted as notified. The proxy's log had a line "request sent on an unconfirmed endpoint
-    // list" for each: sent at 20.388 s, accepted at 15.708 s, the drain listed at 13.91 s.
+    // proxy whose polls were not answered took the last request that a backend had accepted as
+    // proof that the backend was not draining then, and sent to it for another 6 s: until up to 2.1
+    // s after the proxy counted as notified of the drain. For each such request, the proxy logged
+    // "request sent on an unconfirmed endpoint list". For example, one was sent at 20.388 s to a
+    // backend that had accepted a request at 15.708 s and whose drain had been listed at 13.91 s.
     let mut host = host_after_outage();
     let drain_listed_at = host.now;
     while host.now < drain_listed_at + seconds(2) {
@@ -313,6 +328,6 @@
     let request = host.send_request(CLIENT_TIMEOUT);
     assert!(
         host.backends_of(request).is_empty(),
-        "dispatched 6.7 s after a drain was listed"
+        "dispatched 6.7 s after the drain was listed"
     );
 }
--- a/crates/balancer/tests/idle_connections.rs
+++ b/crates/balancer/tests/idle_connections.rs
@@ -7,16 +7,16 @@
 use common::traffic::*;
 
 #[test]
-fn idle_connections_are_limited_where_backends_run_short_of_them_and_the_limit_rises_slowly() {
-    // Three hundred proxies in front of 155 backends that accept 18 connections each: every proxy
-    // kept a connection to every backend that it had used, so that three attempts in four were
-    // rejected and a quarter was served.
+fn a_rejected_connection_limits_idle_connections_and_the_limit_then_rises_slowly() {
+    // Three hundred proxies used 155 backends that accept 18 connections each. Every proxy kept an
+    // idle connection to every backend that it had used. Three of four attempts were rejected, and
+    // a quarter of the requests was served.
     let mut host = TestHost::one_of_a_hundred_proxies();
     serve_steadily_without_faults(&mut host, 30);
     assert_eq!(
         host.idle_connection_limit,
         u32::MAX,
-        "limited without a shortage"
+        "limited before any connection was rejected"
     );
     host.handle_event(Event::ConnectionRejected {
         idle_connections: 20,
@@ -27,7 +27,7 @@
     });
     assert_eq!(
         host.idle_connection_limit, 10,
-        "lowered before the other proxies' limits take effect"
+        "lowered again before the limits of the other proxies took effect"
     );
     host.advance(millis(300));
     host.handle_event(Event::ConnectionRejected {
@@ -40,11 +40,14 @@
     );
     serve_steadily_without_faults(&mut host, 60);
     let limit = host.idle_connection_limit;
-    assert!((6..=12).contains(&limit), "{limit} four seconds later");
+    assert!(
+        (6..=12).contains(&limit),
+        "the limit is {limit} four seconds later"
+    );
     serve_steadily_without_faults(&mut host, 900);
     assert_eq!(
         host.idle_connection_limit,
         u32::MAX,
-        "a limit above the fleet's size is still in force"
+        "the limit was not lifted although it exceeds the number of backends"
     );
 }
--- a/crates/balancer/tests/invariants/config.rs
+++ b/crates/balancer/tests/invariants/config.rs
@@ -1,9 +1,9 @@
-//! Variants of the configuration.
+//! Variants of the configuration that the generated scenarios run with.
 
 use crate::common::builders::*;
 use brookstack_balancer::*;
 
-/// Switches hedging off and makes the group of proxies a large one.
+/// Disables hedging and makes the group of proxies large.
 const LARGE_GROUP_WITHOUT_HEDGING: u32 = 1;
 /// Makes the weights in the endpoint list constant.
 const CONSTANT_WEIGHTS: u32 = 2;
@@ -11,17 +11,17 @@
 const NO_CANCELLATION: u32 = 4;
 /// Makes discovery push its updates.
 const PUSHED_UPDATES: u32 = 8;
-/// Makes the crossing of zones free.
-const FREE_CROSSING_OF_ZONES: u32 = 16;
-/// From this bit on a variant gives the number of zones.
+/// Makes requests to other zones free of cost.
+const FREE_CROSS_ZONE_TRAFFIC: u32 = 16;
+/// The bits of a variant from this one on hold the number of zones minus one.
 const ZONE_COUNT_SHIFT: u32 = 5;
-/// The greatest number of zones.
+/// The largest number of zones.
 const MAX_ZONE_COUNT: u32 = 3;
-/// How many variants there are.
+/// The number of variants.
 pub const VARIANT_COUNT: u32 = MAX_ZONE_COUNT << ZONE_COUNT_SHIFT;
 
-/// A configuration with classes of every idempotency. The low bits of `variant` switch features,
-/// the others give the number of zones; it is less than [`VARIANT_COUNT`].
+/// A configuration with classes of every idempotency. The low bits of `variant` are feature flags;
+/// the high bits give the number of zones. `variant` is less than [`VARIANT_COUNT`].
 pub fn config_variant(variant: u32) -> Config {
     let has = |feature: u32| variant & feature != 0;
     let mut config = Config::example();
@@ -41,7 +41,7 @@
             poll_within: seconds(2),
         };
     }
-    config.cross_zone_cost = if has(FREE_CROSSING_OF_ZONES) {
+    config.cross_zone_cost = if has(FREE_CROSS_ZONE_TRAFFIC) {
         0.0
     } else {
         0.05
--- a/crates/balancer/tests/invariants/main.rs
+++ b/crates/balancer/tests/invariants/main.rs
@@ -1,5 +1,5 @@
-//! The balancer's guarantees as invariants over generated sequences of events; `TestHost` checks
-//! each action.
+//! Property tests: the balancer keeps its guarantees over generated sequences of events. The
+//! [`TestHost`] checks the guarantees with each action.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,13 +14,14 @@
 use config::VARIANT_COUNT;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
-use scenario::play;
+use scenario::run_steps;
 use step::steps;
 
-/// Generated scenarios in which the guarantees are checked: 300 for each number of zones, on average.
+/// Generated scenarios in which the guarantees are checked: on average 300 for each number of
+/// zones.
 const GUARANTEE_CASES: u32 = 900;
-/// Generated scenarios that are played twice: 40 for each number of zones, on average.
-const REPETITION_CASES: u32 = 120;
+/// Generated scenarios that are run twice: on average 40 for each number of zones.
+const DETERMINISM_CASES: u32 = 120;
 
 fn runner(cases: u32) -> TestRunner {
     let config = ProptestConfig {
@@ -39,7 +40,7 @@
         proptest::collection::vec(steps(), 1..250),
     );
     let result = runner(GUARANTEE_CASES).run(&scenarios, |(variant, seed, steps)| {
-        play(variant, seed, &steps);
+        run_steps(variant, seed, &steps);
         Ok(())
     });
     result.unwrap();
@@ -52,14 +53,16 @@
         any::<u64>(),
         proptest::collection::vec(steps(), 1..120),
     );
-    let result = runner(REPETITION_CASES).run(&scenarios, |(variant, seed, steps)| {
-        prop_assert_eq!(play(variant, seed, &steps), play(variant, seed, &steps));
+    let result = runner(DETERMINISM_CASES).run(&scenarios, |(variant, seed, steps)| {
+        let first_run = run_steps(variant, seed, &steps);
+        prop_assert_eq!(first_run, run_steps(variant, seed, &steps));
         Ok(())
     });
     result.unwrap();
 }
 
-/// The backends of 50 requests, after events that name unknown ids if `with_unknown_ids` is set.
+/// The backends that 50 requests are dispatched to. If `with_unknown_ids` is set, the balancer
+/// first gets events with unknown ids.
 fn backends_chosen(with_unknown_ids: bool) -> Vec<u32> {
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::Idempotent), backends(3));
--- a/crates/balancer/tests/invariants/scenario.rs
+++ b/crates/balancer/tests/invariants/scenario.rs
@@ -1,4 +1,4 @@
-//! Plays generated steps on a test host.
+//! Executes generated steps on a test host.
 
 use crate::common::builders::*;
 use crate::common::records::RequestRecord;
@@ -7,32 +7,33 @@
 use crate::step::{Step, BACKEND_COUNT};
 use brookstack_balancer::*;
 
-/// Added to generated request ids, so that no request has them.
+/// Added to generated request ids that no request may have.
 const FIRST_UNKNOWN_REQUEST: u64 = 1_000_000;
-/// A bit mask of the backends in the cached endpoint list that each scenario starts with.
-const FIRST_BACKENDS: u32 = 0b0111_1011;
-/// The time in which every request that is still open comes to its end.
+/// Bit mask of the backends in the cached endpoint list that each scenario starts with.
+const INITIAL_BACKENDS: u32 = 0b0111_1011;
+/// The time after the last step within which every open request must end.
 const TIME_TO_COMPLETE: Micros = seconds(3);
 
-/// Plays the steps and returns the actions that each of them caused last, as text.
-pub fn play(variant: u32, seed: u64, steps: &[Step]) -> Vec<String> {
+/// Executes the steps on a balancer with the given variant of the configuration and seed. Returns,
+/// for each step, the actions of the last event up to then, as text.
+pub fn run_steps(variant: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut host = TestHost::new(config_variant(variant), seed);
-    host.update_endpoints(EndpointUpdate::Cached, generated_backends(FIRST_BACKENDS));
+    host.update_endpoints(EndpointUpdate::Cached, generated_backends(INITIAL_BACKENDS));
     let mut trace = Vec::new();
     for step in steps {
-        play_step(&mut host, step);
+        execute_step(&mut host, step);
         trace.push(format!("{:?}", host.last_actions));
     }
     host.advance(TIME_TO_COMPLETE);
     let has_response = |record: &RequestRecord| !record.awaits_response();
     assert!(
         host.requests.values().all(has_response),
-        "a request was left without a response"
+        "a request got no response"
     );
     trace
 }
 
-fn play_step(host: &mut TestHost, step: &Step) {
+fn execute_step(host: &mut TestHost, step: &Step) {
     match *step {
         Step::SendRequest {
             class,
@@ -50,7 +51,10 @@
             state,
             restarted,
         } => change_endpoint(host, id, state, restarted),
-        Step::ReplaceEndpoints { members, update } => replace_endpoints(host, members, update),
+        Step::ReplaceEndpoints {
+            backend_mask,
+            update,
+        } => replace_endpoints(host, backend_mask, update),
         Step::UnknownIds {
             request,
             attempt,
@@ -89,10 +93,10 @@
     host.update_endpoints(EndpointUpdate::Delta, vec![changed]);
 }
 
-fn replace_endpoints(host: &mut TestHost, members: u32, update: EndpointUpdate) {
+fn replace_endpoints(host: &mut TestHost, backend_mask: u32, update: EndpointUpdate) {
     match update {
         EndpointUpdate::WatchFailed => host.update_watch(update),
-        _ => host.update_endpoints(update, generated_backends(members)),
+        _ => host.update_endpoints(update, generated_backends(backend_mask)),
     }
 }
 
@@ -104,7 +108,7 @@
     open.map(|(request, _)| *request).collect()
 }
 
-/// Some item of the list, if it has any.
+/// The item that the selector picks; `None` if there are no items.
 fn select<T: Copy>(items: &[T], selector: usize) -> Option<T> {
     items.get(selector % items.len().max(1)).copied()
 }
@@ -113,10 +117,10 @@
     backend(id, id % 3, id % 2)
 }
 
-/// The backends of a bit mask.
-fn generated_backends(members: u32) -> Vec<Endpoint> {
+/// The backends whose bits are set in the mask.
+fn generated_backends(backend_mask: u32) -> Vec<Endpoint> {
     (0..BACKEND_COUNT)
-        .filter(|id| members >> id & 1 == 1)
+        .filter(|id| backend_mask >> id & 1 == 1)
         .map(generated_backend)
         .collect()
 }
--- a/crates/balancer/tests/invariants/step.rs
+++ b/crates/balancer/tests/invariants/step.rs
@@ -1,9 +1,9 @@
-//! The generated steps of a scenario.
+//! The steps that scenarios are generated from.
 
 use brookstack_balancer::*;
 use proptest::prelude::*;
 
-/// How many backends the generated endpoint lists choose from.
+/// Number of backends that the generated endpoint lists are drawn from.
 pub const BACKEND_COUNT: u32 = 8;
 
 /// One generated step of a scenario.
@@ -17,7 +17,7 @@
     },
     /// One of the attempts in flight ends.
     EndAttempt { selector: usize, outcome: Outcome },
-    /// The response to one of the attempts in flight begins to stream.
+    /// The response of one of the attempts in flight starts to stream.
     StartStream { selector: usize },
     /// The client of one of the open requests disconnects.
     DisconnectClient { selector: usize },
@@ -29,12 +29,13 @@
         state: BackendState,
         restarted: bool,
     },
-    /// The complete endpoint list arrives, with the backends of a bit mask, or the watch fails.
+    /// The complete endpoint list arrives, with the backends whose bits are set in the mask, or the
+    /// watch fails.
     ReplaceEndpoints {
-        members: u32,
+        backend_mask: u32,
         update: EndpointUpdate,
     },
-    /// Events arrive that name unknown requests, attempts and timers.
+    /// Events with the ids of unknown requests, attempts and timers arrive.
     UnknownIds {
         request: u64,
         attempt: u32,
@@ -70,7 +71,7 @@
     ]
 }
 
-/// One step; requests, the ends of attempts and the passing of time are the most frequent.
+/// Generates a step. Requests, ends of attempts and the passing of time are the most frequent.
 pub fn steps() -> impl Strategy<Value = Step> {
     let requests = (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize));
     let attempt_ends = (0..64usize, outcomes());
@@ -88,7 +89,9 @@
         2 => endpoint_changes.prop_map(|(id, state, restarted)| {
             Step::ChangeEndpoint { id, state, restarted }
         }),
-        1 => replacements.prop_map(|(members, update)| Step::ReplaceEndpoints { members, update }),
+        1 => replacements.prop_map(|(backend_mask, update)| {
+            Step::ReplaceEndpoints { backend_mask, update }
+        }),
         1 => unknown_ids.prop_map(|(request, attempt, token)| {
             Step::UnknownIds { request, attempt, token }
         }),
--- a/crates/balancer/tests/load_distribution.rs
+++ b/crates/balancer/tests/load_distribution.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// How many of 200 requests go to a backend whose weight in the endpoint list has fallen to a
-/// twentieth.
+/// How many of 200 requests go to one of four backends after its weight in the endpoint list has
+/// fallen to a twentieth.
 fn received_at_low_weight(live_weights: bool) -> usize {
     let config = Config {
         live_weights,
@@ -57,22 +57,25 @@
 }
 
 #[test]
-fn an_overloaded_backend_receives_less_where_weights_are_live() {
-    // Unresponsive and overloaded backends held tens of requests each, and only the live weight in
-    // the endpoint list showed it.
+fn a_backend_with_a_low_live_weight_receives_less_traffic() {
+    // Unresponsive and overloaded backends had tens of requests in flight each. Only their live
+    // weights in the endpoint list showed this.
     let with_live_weights = received_at_low_weight(true);
     assert!(
         with_live_weights <= 10,
-        "{with_live_weights} of 200 went to the overloaded backend"
+        "{with_live_weights} of 200 went to the overloaded backend with live weights"
     );
     let without = received_at_low_weight(false);
-    assert!(without >= 30, "{without} of 200 where weights are not live");
+    assert!(
+        without >= 30,
+        "{without} of 200 went to the overloaded backend without live weights"
+    );
 }
 
 #[test]
 fn one_slow_backend_does_not_make_its_machine_type_look_slow() {
-    // A slow machine type with one faulty backend was left idle while requests for the fast one
-    // were rejected.
+    // One faulty backend made its machine type look slow. The type received no traffic although
+    // requests that the fast machine type had no capacity for were rejected.
     let mut host =
         TestHost::with_endpoints(config_with_proxies(40), backends_of_two_machine_types(12));
     let latency = |backend: u32| {
@@ -91,10 +94,10 @@
 }
 
 #[test]
-fn a_slow_backend_receives_less_even_if_a_proxy_uses_it_seldom() {
-    // Overloaded backends held 111 of 190 requests while their neighbours were idle: their
-    // responses came too late to count, and a late response was as good as any. A tenth of the
-    // backends responds in seven times the others' time.
+fn a_slow_backend_receives_less_traffic_even_if_a_proxy_rarely_uses_it() {
+    // Overloaded backends had 111 of 190 requests in flight while other backends were idle: their
+    // responses came too late to be counted, and a late response counted like any other. Here a
+    // tenth of the backends takes seven times as long as the others to respond.
     let mut host = TestHost::one_of_a_hundred_proxies();
     serve_steadily_without_faults(&mut host, 60);
     let is_slow = |backend: u32| backend < 6;
@@ -117,6 +120,6 @@
     let slow = count_backends(&served, is_slow);
     assert!(
         total >= 500 && slow * 18 < total,
-        "{slow} of {total} went to the tenth that is slow"
+        "{slow} of {total} responses came from the slow tenth of the backends"
     );
 }
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What one proxy sends to backends that are warming up.
+//! How much traffic one proxy sends to backends in slow start.
 
 mod common;
 use brookstack_balancer::*;
@@ -6,8 +6,8 @@
 use common::test_host::TestHost;
 use common::traffic::*;
 
-/// A configuration whose backends start at a tenth of their capacity and fail at twice what they
-/// can serve.
+/// A configuration in which backends start with a tenth of their capacity and fail if they are sent
+/// more than twice the work that they can do.
 fn slow_start_config(proxy_count: u32) -> Config {
     Config {
         slow_start_floor: 0.1,
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_warming_backend_stays_within_its_slow_start_quota() {
+fn a_backend_in_slow_start_receives_no_more_than_its_quota() {
     let mut host = TestHost::with_endpoints(slow_start_config(1), backends(3));
     serve_sequentially(&mut host, 200, |_| millis(20));
     let warming = Endpoint {
@@ -25,19 +25,19 @@
         ..backend(9, 0, 0)
     };
     host.update_endpoints(EndpointUpdate::Delta, vec![warming]);
-    // Two seconds, which is one overload window.
+    // This takes two seconds, which is one overload window.
     let chosen = serve_sequentially(&mut host, 100, |_| millis(20));
     let received = count_backends(&chosen, |backend| backend == 9);
-    // A warm backend serves about 50 + 17 a second: at a tenth of that, twice over, for two
-    // seconds, 27 at most.
+    // A backend with its full capacity serves about 50 + 17 requests a second. The limit is a tenth
+    // of that, doubled, over two seconds: 27 at most.
     assert!(
         (1..=14).contains(&received),
-        "{received} of 100 went to the warming backend"
+        "{received} of 100 went to the backend in slow start"
     );
 }
 
 #[test]
-fn a_burst_does_not_overload_a_warming_backend() {
+fn a_burst_does_not_overload_a_backend_in_slow_start() {
     let mut host = TestHost::with_endpoints(slow_start_config(3), backends(12));
     serve_sequentially(&mut host, 100, |_| millis(20));
     let restarted_at = host.now;
@@ -61,18 +61,18 @@
             .count()
     };
     let most = (0..12).map(received).max();
-    // Served in 20 ms: 100 a second at most; at a tenth, doubled, over two seconds, a third of it:
-    // 13 each.
+    // Requests take 20 ms, so a backend serves at most 100 a second. The limit is a tenth of that,
+    // doubled, over two seconds; one of three proxies may send a third of it: 13 to each backend.
     assert!(
         dispatched >= 1 && most <= Some(13),
-        "{dispatched} dispatched, {most:?} to one warming backend"
+        "{dispatched} dispatched, {most:?} to one backend in slow start"
     );
 }
 
 #[test]
-fn many_proxies_do_not_overload_an_idle_warming_backend_beside_overloaded_ones() {
-    // Live weights were low on all warm backends, so that the warming one received a greater share
-    // than they did.
+fn many_proxies_do_not_overload_an_idle_backend_in_slow_start_if_the_others_are_overloaded() {
+    // The live weights of all other backends were low, so the backend in slow start received a
+    // greater share of the traffic than they did.
     let config = Config {
         live_weights: true,
         slow_start_duration: seconds(1_000),
@@ -96,7 +96,7 @@
     let received = count_backends(&chosen, |backend| backend == 36);
     assert!(
         received <= 5,
-        "{received} of 300 went to the warming backend, while its share of the capacity is under a \
-         hundredth"
+        "{received} of 300 went to the backend in slow start, whose share of the capacity is less \
+         than a hundredth"
     );
 }
