--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Which requests are admitted, which are rejected to shed load, and which are served first.
+//! Admission: which requests are admitted, which are rejected to shed load, and which are served
+//! first.
 
 mod common;
 use brookstack_balancer::*;
@@ -8,7 +9,7 @@
 use common::traffic::*;
 
 #[test]
-fn an_empty_fleet_rejects_requests_before_their_deadline() {
+fn requests_are_rejected_before_their_deadline_if_there_are_no_backends() {
     let classes = vec![
         class(Idempotency::Idempotent),
         class(Idempotency::NonIdempotent),
@@ -24,7 +25,7 @@
 
 #[test]
 fn a_request_with_a_short_timeout_after_idleness_is_rejected_in_time() {
-    // Found by the invariants: the timer once ran ten ticks long while no request was open.
+    // The timer was set to ten ticks while no request was open. The property tests found this.
     let mut host = TestHost::with_endpoints(Config::example(), Vec::new());
     host.advance(seconds(1));
     let request = host.send_request(millis(6));
@@ -32,7 +33,8 @@
     assert_eq!(host.completion(request), Some(Completion::Rejected));
 }
 
-/// Sends 60 requests one by one, each served after `latency`; returns how many were rejected.
+/// Sends 60 requests one after the other, each served after `latency`; returns how many were
+/// rejected.
 fn rejected_of_60(host: &mut TestHost, latency: Micros) -> usize {
     let mut requests = Vec::new();
     for _ in 0..60 {
@@ -46,7 +48,8 @@
 
 #[test]
 fn load_is_shed_while_responses_are_late_and_admitted_again_when_they_are_fast() {
-    // Backends that held too many requests of all proxies together stayed overloaded and slow.
+    // Backends that had too many requests of all proxies together in flight stayed overloaded and
+    // slow.
     let mut host = TestHost::with_endpoints(config_with_proxies(300), backends(60));
     assert_eq!(rejected_of_60(&mut host, millis(100)), 0, "fast responses");
     assert!(
@@ -64,7 +67,8 @@
 
 #[test]
 fn a_clients_retry_waits_behind_first_attempts() {
-    // Clients' retries counted as new requests and, newest first, made all requests late.
+    // Retries by clients were treated as new requests. The newest requests are sent first, so these
+    // retries made all requests late.
     let mut host = TestHost::with_endpoints(config_with_proxies(1), backends(1));
     let burst = host.send_burst(8, CLIENT_TIMEOUT);
     host.advance(millis(5));
@@ -114,12 +118,12 @@
     assert_eq!(
         host.backends_of(other).len(),
         1,
-        "the other tenant waits behind those over quota"
+        "the request of the other tenant waits behind requests over quota"
     );
 }
 
 #[test]
-fn in_overload_the_class_with_the_greater_priority_weight_is_served() {
+fn the_class_with_the_greater_priority_weight_is_served_first_in_overload() {
     let low = class(Idempotency::Idempotent);
     let high = Class {
         priority_weight: 8.0,
@@ -149,9 +153,9 @@
 }
 
 #[test]
-fn next_to_nothing_is_shed_in_a_calm_start() {
-    // Before an unloaded latency was known, responses well inside the latency objective counted as
-    // late.
+fn responses_within_the_latency_objective_shed_almost_no_load_after_the_start() {
+    // Until the latency of an unloaded backend was known, responses well within the latency
+    // objective counted as late.
     let mut host = TestHost::with_endpoints(config_with_proxies(300), backends(60));
     let dispatched = serve_sequentially(&mut host, 60, |_| millis(150)).len();
     assert!(dispatched >= 57, "{dispatched} of 60 were dispatched");
@@ -159,13 +163,13 @@
 
 #[test]
 fn a_response_counts_as_late_as_soon_as_its_objective_has_passed() {
-    // Under overload responses came a second or two late, and the fleet stayed overloaded
-    // meanwhile.
+    // Under overload, late responses arrived a second or two after their objective and counted only
+    // then. The fleet stayed overloaded in the meantime.
     let mut host = TestHost::with_endpoints(config_with_proxies(300), backends(600));
     serve_sequentially(&mut host, 60, |_| millis(30));
     let mut rejected = 0;
     for _ in 0..30 {
-        host.advance(millis(150)); // no request is answered at all
+        host.advance(millis(150)); // no request gets a response
         let request = host.send_request(seconds(20));
         rejected += usize::from(host.completion(request) == Some(Completion::Rejected));
     }
@@ -174,9 +178,9 @@
 
 #[test]
 fn a_few_late_responses_at_light_load_shed_nothing() {
-    // The admitted fraction was capped at one and fell with each late response, so that chance
-    // alone shed a tenth of the requests of calm seconds. One response in eight is late here, and a
-    // third would be a reason to shed load.
+    // The admitted fraction was limited to one and fell with each late response, so random variation
+    // alone shed a tenth of the requests at light load. Here one of eight responses is late; only if
+    // a third were late would there be a reason to shed load.
     let mut host = TestHost::one_of_a_hundred_proxies();
     let mut requests = Vec::new();
     for index in 0..600 {
@@ -195,9 +199,9 @@
 
 #[test]
 fn rejections_by_draining_backends_shed_no_load() {
-    // A release of which proxies were notified late: half of the attempts met draining backends,
-    // which rejected them; the requests were served in time elsewhere, and yet each reduced the
-    // admitted fraction of the traffic.
+    // Proxies were notified late of a release. Half of the attempts went to draining backends and
+    // were rejected by them. The requests were served in time by other backends, but each rejection
+    // lowered the admitted fraction of the traffic.
     let mut host = TestHost::one_of_a_hundred_proxies();
     serve_steadily_without_faults(&mut host, 60);
     let mut requests = Vec::new();
--- a/crates/balancer/tests/discovery_watch_fleet/fleet.rs
+++ b/crates/balancer/tests/discovery_watch_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of proxies that watch one discovery service.
+//! A simulated fleet of proxies that watch the same discovery service.
 
 use crate::common::builders::*;
 use crate::common::test_host::TestHost;
@@ -9,24 +9,25 @@
 
 /// The tick of the simulated clock.
 const TICK: Micros = millis(20);
-/// The backends that [`Fleet::drain_backends`] drains.
+/// Ids of the backends that [`Fleet::drain_backends`] drains.
 pub const DRAINING_BACKENDS: Range<u32> = 0..6;
-/// The time in which a backend responds.
+/// Response time of the backends.
 const RESPONSE_TIME: Micros = millis(60);
-/// One proxy in so many has traffic.
+/// One of this many proxies has traffic.
 const PROXIES_PER_BUSY_PROXY: usize = 10;
 
-/// Traffic at every tenth proxy.
+/// The traffic of every tenth proxy; the other proxies have none.
 pub struct Traffic {
-    /// Requests a second at each of them, evenly spaced.
+    /// Requests per second at each of these proxies, evenly spaced.
     pub rate_per_s: f64,
-    /// From then on the draining backends reject requests, even before proxies are notified.
+    /// The draining backends reject requests from this time on, even if proxies have not been
+    /// notified of the drain yet.
     pub rejected_from: Time,
 }
 
 impl Traffic {
-    /// Sends the requests of the last tick and ends the attempts that are due.
-    fn run(&self, host: &mut TestHost, proxy: usize) {
+    /// Sends the proxy's requests of the last tick and ends its attempts that are due.
+    fn run_tick(&self, host: &mut TestHost, proxy: usize) {
         if proxy % PROXIES_PER_BUSY_PROXY > 0 {
             return;
         }
@@ -43,7 +44,8 @@
         }
     }
 
-    /// How many requests a proxy has received up to a time; proxies are out of phase.
+    /// Number of requests that a proxy has received up to a time. Each proxy has another phase, so
+    /// requests do not arrive at all proxies at the same time.
     fn requests_until(&self, proxy: usize, at: Time) -> u64 {
         let phase = proxy as f64 * 0.618;
         (at.0 as f64 * 1e-6 * self.rate_per_s + phase) as u64
@@ -51,8 +53,8 @@
 
     fn outcome(&self, host: &TestHost, request: RequestId, attempt: usize) -> Outcome {
         let attempt = host.attempt(request, attempt);
-        let drains = DRAINING_BACKENDS.contains(&(attempt.backend.0 as u32));
-        if drains && attempt.dispatched_at >= self.rejected_from {
+        let is_draining = DRAINING_BACKENDS.contains(&(attempt.backend.0 as u32));
+        if is_draining && attempt.dispatched_at >= self.rejected_from {
             Outcome::Rejected
         } else {
             Outcome::Success
@@ -60,19 +62,19 @@
     }
 }
 
-/// Proxies that share nothing but the discovery service.
+/// Proxies that have nothing in common but the discovery service.
 pub struct Fleet {
     /// The proxies.
     pub hosts: Vec<TestHost>,
-    /// The service.
+    /// The discovery service.
     pub service: DiscoveryService,
     /// The simulated clock.
     pub now: Time,
 }
 
 impl Fleet {
-    /// Proxies that start with this cached list of backends in two zones; the service needs
-    /// `call_duration` for a call.
+    /// Creates proxies that start with the given cached list of backends in two zones. The service
+    /// needs `call_duration` for a call.
     pub fn new(proxy_count: u32, call_duration: Micros, endpoints: Vec<Endpoint>) -> Fleet {
         let start = |proxy_index| {
             let config = Config {
@@ -98,40 +100,41 @@
         fleet
     }
 
-    /// Proxies that start with a cached list of sixty backends.
+    /// Creates proxies that start with a cached list of sixty backends.
     pub fn with_sixty_backends(proxy_count: u32, call_duration: Micros) -> Fleet {
         Fleet::new(proxy_count, call_duration, backends_across_zones(60, 2))
     }
 
-    /// Lets time pass without traffic.
+    /// Advances the simulation without traffic.
     pub fn run(&mut self, secs: f64) {
         self.run_ticks(secs, None);
     }
 
-    /// Lets time pass with traffic.
+    /// Advances the simulation with traffic.
     pub fn run_with_traffic(&mut self, secs: f64, traffic: &Traffic) {
         self.run_ticks(secs, Some(traffic));
     }
 
-    /// The service goes down: watches and calls end.
+    /// Takes the service down: all watches fail now, and calls fail at the next tick.
     pub fn take_service_down(&mut self) {
         self.service.go_down();
         self.break_watches();
     }
 
-    /// The service comes back.
+    /// Brings the service back.
     pub fn bring_service_back(&mut self) {
         self.service.come_back(self.now);
     }
 
-    /// All established watches fail.
+    /// Lets all established watches fail.
     pub fn break_watches(&mut self) {
         for proxy in self.service.take_watches() {
             self.fail_watch(proxy);
         }
     }
 
-    /// Some backends begin to drain; proxies with an established watch are notified.
+    /// Starts the drain of [`DRAINING_BACKENDS`] and notifies the proxies with an established
+    /// watch.
     pub fn drain_backends(&mut self) {
         let draining = DRAINING_BACKENDS.map(|id| Endpoint {
             state: BackendState::Draining,
@@ -158,7 +161,7 @@
             let polls = host.polls;
             host.advance(TICK);
             if let Some(traffic) = traffic {
-                traffic.run(host, proxy);
+                traffic.run_tick(host, proxy);
             }
             self.call_if_polled(proxy, polls);
         }
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Calls the service if the proxy has polled since it had polled `polls` times.
+    /// Sends the proxy's call to the service if the proxy has polled more than `polls` times.
     fn call_if_polled(&mut self, proxy: usize, polls: u32) {
         if self.hosts[proxy].polls > polls {
             self.service.call(proxy, self.now);
--- a/crates/balancer/tests/discovery_watch_fleet/main.rs
+++ b/crates/balancer/tests/discovery_watch_fleet/main.rs
@@ -1,6 +1,8 @@
-//! What proxies that share nothing do together to the one discovery service: how long it takes
-//! until all of them have been notified of a change, and what those do that could not be notified
-//! in time.
+//! Simulations of a fleet of proxies that do not communicate and use one discovery service. The
+//! tests check how long it takes to notify all proxies of a change, and that proxies that could not
+//! be notified in time dispatch nothing to backends that may be draining.
+//!
+//! The results are printed with `--nocapture`.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,13 +15,14 @@
 use fleet::Fleet;
 use outage::{OutageScenario, NOTIFICATION_DEADLINE};
 
-/// A number of proxies and a service that needs so many microseconds for a call.
+/// The size of a fleet and the time that the discovery service needs for a call.
 struct Case {
     proxy_count: u32,
     call_duration: Micros,
 }
 
 impl Case {
+    /// `call_us` is the time that the service needs for a call, in microseconds.
     const fn new(proxy_count: u32, call_us: u64) -> Case {
         Case {
             proxy_count,
@@ -32,7 +35,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             formatter,
-            "{} proxies, {} us a call",
+            "{} proxies, {} us per call",
             self.proxy_count, self.call_duration.0
         )
     }
@@ -49,14 +52,17 @@
 /// Checks that the last proxy was notified before the deadline; `delays_s` are in ascending order.
 fn assert_all_notified_in_time(case: &Case, delays_s: &[f64]) {
     let last = delays_s[delays_s.len() - 1];
-    println!("{case}: the last is notified after {last:.2} s");
-    assert!(last <= NOTIFICATION_DEADLINE.secs(), "{case}: {last} s");
+    println!("{case}: the last proxy is notified after {last:.2} s");
+    assert!(
+        last <= NOTIFICATION_DEADLINE.secs(),
+        "{case}: the last proxy is notified after {last} s"
+    );
 }
 
 #[test]
 fn after_an_outage_all_proxies_are_notified_within_six_seconds_if_the_service_is_fast_enough() {
-    // Refused calls were repeated after up to 9 s x 1.5 with three hundred proxies, calls that had
-    // waited in the queue after up to 21 s x 1.5.
+    // With three hundred proxies, rejected calls were repeated after up to 9 s x 1.5, and calls
+    // that had waited in the queue after up to 21 s x 1.5.
     for case in FAST_SERVICES {
         let scenario = OutageScenario {
             proxy_count: case.proxy_count,
@@ -71,7 +77,7 @@
 }
 
 #[test]
-fn after_a_broken_watch_all_proxies_are_notified_within_six_seconds_of_what_they_missed() {
+fn after_all_watches_broke_all_proxies_are_notified_of_missed_changes_within_six_seconds() {
     for case in FAST_SERVICES {
         let mut fleet = Fleet::with_sixty_backends(case.proxy_count, case.call_duration);
         fleet.run(20.0);
@@ -85,9 +91,9 @@
 
 #[test]
 fn a_proxy_that_is_not_notified_in_time_dispatches_nothing_to_backends_that_may_be_draining() {
-    // One service needs 4 to 9 s for the calls of three hundred proxies, 14 to 33 s for those of
-    // 1,100. A proxy that is not notified in time goes on with the backends that accepted a request
-    // lately. They are many: only every tenth proxy has traffic here.
+    // A service needs 4 to 9 s for the calls of three hundred proxies and 14 to 33 s for those of
+    // 1,100. A proxy that is not notified in time goes on using the backends that recently accepted
+    // a request. There are many such backends, although only every tenth proxy has traffic here.
     assert_no_late_dispatches(Micros(0));
 }
 
@@ -96,8 +102,9 @@
     assert_no_late_dispatches(seconds(2));
 }
 
-/// Plays outages after which the service is too slow to notify all proxies in time. Draining
-/// backends accept requests for a while.
+/// Simulates outages after which the service is too slow to notify all proxies in time, and checks
+/// that nothing is dispatched late to draining backends. These accept requests for
+/// `accepted_in_drain` after their drain is listed.
 fn assert_no_late_dispatches(accepted_in_drain: Micros) {
     let few_proxies = OutageScenario {
         proxy_count: 300,
@@ -134,39 +141,44 @@
         .count();
     let (served, arrived) = (report.served, report.arrived);
     println!(
-        "{case}: {in_time} notified within 6 s, {} dispatches too late, \
-         {served} of {arrived} served after that",
+        "{case}: {in_time} proxies notified within 6 s, {} late dispatches, \
+         {served} of {arrived} later requests served",
         report.late_dispatches
     );
     assert!(
         in_time < scenario.proxy_count as usize,
-        "the service could notify all proxies in time"
+        "{case}: the service was fast enough to notify all proxies in time"
+    );
+    assert_eq!(report.late_dispatches, 0, "{case}: late dispatches");
+    assert!(
+        served * 20 >= arrived * 19,
+        "{case}: {served} of {arrived} served"
     );
-    assert_eq!(report.late_dispatches, 0, "{case}");
-    assert!(served * 20 >= arrived * 19, "{served} of {arrived} served");
 }
 
 #[test]
 fn calls_that_fail_in_the_queue_are_repeated_slowly_enough_to_empty_it() {
-    // However many proxies there are, and though no call is answered: 12.5 calls a second of 80 ms
-    // keep no queue.
+    // No call is answered. Whatever the number of proxies, the rate of the calls must stay low
+    // enough to empty the queue: 12.5 calls a second leave no queue if the service needs 80 ms for
+    // each.
     for proxy_count in [30, 300, 1_100] {
         let mut fleet = Fleet::with_sixty_backends(proxy_count, Micros(1_000_000_000));
         fleet.run(3.0 * f64::from(proxy_count) * 0.08);
         let from = fleet.now;
         fleet.run(f64::from(proxy_count) * 0.08);
         let rate_per_s = fleet.service.calls_after(from) as f64 / (fleet.now - from).secs();
-        println!("{proxy_count} proxies: {rate_per_s:.1} calls a second");
+        println!("{proxy_count} proxies: {rate_per_s:.1} calls per second");
         assert!(
             (4.0..=30.0).contains(&rate_per_s),
-            "{proxy_count} proxies: {rate_per_s} calls a second"
+            "{proxy_count} proxies: {rate_per_s} calls per second"
         );
     }
 }
 
 #[test]
-fn nine_in_ten_proxies_that_restart_together_without_a_list_have_one_within_ten_seconds() {
-    // All polled at once, and those that failed in the queue waited for a round of all proxies.
+fn nine_in_ten_proxies_that_start_together_without_a_list_receive_one_within_ten_seconds() {
+    // All proxies polled at the same time, and those whose polls failed in the queue waited for a
+    // whole round of polls of all proxies.
     let cases = [
         Case::new(3, 30_000),
         Case::new(30, 30_000),
@@ -182,8 +194,13 @@
         fleet.run(10.0);
         let delays_s = fleet.service.notification_delays_s(start);
         let ready = delays_s.iter().filter(|delay| **delay <= 10.0).count();
-        let ninth_tenth = delays_s[proxies * 9 / 10 - 1];
-        println!("{case}: {ready} have a list within 10 s, nine in ten within {ninth_tenth:.2} s");
-        assert!(ready * 10 >= proxies * 9, "{case}: {ready}");
+        let p90_delay_s = delays_s[proxies * 9 / 10 - 1];
+        println!(
+            "{case}: {ready} proxies have a list within 10 s, nine in ten within {p90_delay_s:.2} s"
+        );
+        assert!(
+            ready * 10 >= proxies * 9,
+            "{case}: only {ready} proxies have a list within 10 s"
+        );
     }
 }
--- a/crates/balancer/tests/discovery_watch_fleet/outage.rs
+++ b/crates/balancer/tests/discovery_watch_fleet/outage.rs
@@ -1,4 +1,4 @@
-//! An outage of the discovery service, followed by a drain.
+//! A scenario with an outage of the discovery service, after which backends drain.
 
 use crate::common::builders::*;
 use crate::common::records::{Completion, RequestRecord};
@@ -6,53 +6,56 @@
 use crate::fleet::{Fleet, Traffic, DRAINING_BACKENDS};
 use brookstack_balancer::{Micros, Time};
 
-/// A change counts as notified so long after discovery had it and could be reached.
+/// A proxy counts as notified of a change this long after discovery had the change and could be
+/// reached.
 pub const NOTIFICATION_DEADLINE: Micros = seconds(6);
-/// Dispatches to a draining backend stop so long after its drain counts as notified.
+/// Dispatches to a draining backend count as late this long after proxies count as notified of the
+/// drain.
 const DISPATCH_GRACE: Micros = millis(500);
 /// How long the outage lasts.
 const OUTAGE_S: f64 = 8.0;
-/// Backends begin to drain so long after the end of the outage.
+/// Time from the end of the outage until backends begin to drain.
 const DRAIN_DELAY_S: f64 = 0.5;
 
-/// A fleet that goes through an outage.
+/// A fleet and an outage of its discovery service.
 pub struct OutageScenario {
-    /// How many proxies there are.
+    /// Number of proxies.
     pub proxy_count: u32,
-    /// The time that the service needs for a call.
+    /// The time that the discovery service needs for a call.
     pub call_duration: Micros,
-    /// How many backends there are.
+    /// Number of backends.
     pub backend_count: u32,
-    /// Requests a second at every tenth proxy.
+    /// Requests per second at every tenth proxy; the other proxies have no traffic.
     pub rate_per_s: f64,
-    /// Draining backends go on accepting requests for so long after the drain is listed.
+    /// Time for which draining backends accept requests after their drain is listed.
     pub accepted_in_drain: Micros,
-    /// How long the fleet is observed after the drain begins.
+    /// Seconds that are simulated after the drain begins.
     pub observed_s: f64,
 }
 
-/// What came of an outage.
+/// The result of an [`OutageScenario`].
 pub struct OutageReport {
     /// Seconds from the end of the outage until each proxy was notified of the drain, in ascending
     /// order.
     pub delays_s: Vec<f64>,
-    /// Dispatches to draining backends later than the grace after the drain counted as notified.
+    /// Dispatches to draining backends more than [`DISPATCH_GRACE`] after proxies count as notified
+    /// of the drain.
     pub late_dispatches: usize,
-    /// Requests that arrived after the drain counted as notified.
+    /// Requests that arrived after proxies count as notified of the drain.
     pub arrived: usize,
-    /// Those of them that were served.
+    /// How many of these requests were served.
     pub served: usize,
 }
 
 impl OutageScenario {
-    /// Plays the outage.
+    /// Simulates the outage and the drain.
     pub fn run(&self) -> OutageReport {
         let endpoints = backends_across_zones(self.backend_count, 2);
         let mut fleet = Fleet::new(self.proxy_count, self.call_duration, endpoints);
         while fleet.service.watches().len() < self.proxy_count as usize {
             fleet.run(1.0);
         }
-        fleet.run(4.0); // long enough that every proxy takes its watch for established
+        fleet.run(4.0); // after this time, every proxy regards its watch as established
         fleet.take_service_down();
         let back_at = fleet.now + Micros::from_secs(OUTAGE_S);
         let drained_at = back_at + Micros::from_secs(DRAIN_DELAY_S);
@@ -87,8 +90,8 @@
     }
 }
 
-/// A request's dispatches to draining backends later than the grace after the drain counted as
-/// notified.
+/// The request's dispatches to draining backends more than [`DISPATCH_GRACE`] after proxies count
+/// as notified of the drain.
 fn late_dispatches(request: &RequestRecord, notified_at: Time) -> usize {
     let late = request
         .attempts
--- a/crates/balancer/tests/discovery_watch_fleet/service.rs
+++ b/crates/balancer/tests/discovery_watch_fleet/service.rs
@@ -1,51 +1,52 @@
-//! A simulated discovery service that handles the calls of proxies one after the other.
+//! A simulated discovery service. It handles the calls of proxies one after the other; a call that
+//! it has handled becomes a watch.
 
 use crate::common::builders::seconds;
 use brookstack_balancer::{Endpoint, Micros, Time};
 use std::collections::VecDeque;
 
-/// A call that has waited in the queue for so long fails.
+/// A call fails after waiting in the queue for this time.
 const CALL_TIMEOUT: Micros = seconds(2);
 
-/// A call that waits in the queue.
+/// A call in the queue.
 #[derive(Clone, Copy)]
 struct QueuedCall {
     proxy: usize,
     queued_at: Time,
 }
 
-/// The call that the service works on.
+/// The call that the service is handling.
 struct ActiveCall {
     proxy: usize,
     done_at: Time,
 }
 
-/// What happens to a call.
+/// The result of a call.
 pub enum CallEvent {
-    /// The service has handled it; from now on it is a watch.
+    /// The service has handled the call, which is a watch from now on.
     Handled {
         /// The proxy that called.
         proxy: usize,
     },
-    /// It has waited in the queue for too long.
+    /// The call has waited in the queue for too long.
     TimedOut {
         /// The proxy that called.
         proxy: usize,
     },
 }
 
-/// A discovery service.
+/// A simulated discovery service with one endpoint list.
 pub struct DiscoveryService {
-    /// The time that it needs for a call.
+    /// The time that the service needs for a call.
     call_duration: Micros,
     is_up: bool,
-    /// When it was last done with a call.
+    /// When the service finished its last call or came back.
     idle_since: Time,
     active_call: Option<ActiveCall>,
     queue: VecDeque<QueuedCall>,
     /// Proxies whose watch is established.
     watches: Vec<usize>,
-    /// The version of the endpoint list.
+    /// The newest version of the endpoint list.
     version: u32,
     /// The version that each proxy has.
     proxy_versions: Vec<u32>,
@@ -53,12 +54,12 @@
     changes: Vec<Endpoint>,
     /// When each proxy was notified of the newest version.
     notified_at: Vec<Option<Time>>,
-    /// When proxies have called.
-    calls: Vec<Time>,
+    /// The time of each call.
+    call_times: Vec<Time>,
 }
 
 impl DiscoveryService {
-    /// A service that all proxies have the newest list of.
+    /// Creates a service whose newest list all proxies already have.
     pub fn new(proxy_count: usize, call_duration: Micros, now: Time) -> DiscoveryService {
         DiscoveryService {
             call_duration,
@@ -71,11 +72,11 @@
             proxy_versions: vec![0; proxy_count],
             changes: Vec::new(),
             notified_at: vec![Some(now); proxy_count],
-            calls: Vec::new(),
+            call_times: Vec::new(),
         }
     }
 
-    /// Whether it handles calls.
+    /// Whether the service handles calls.
     pub fn is_up(&self) -> bool {
         self.is_up
     }
@@ -85,23 +86,23 @@
         self.is_up = false;
     }
 
-    /// Handles calls again.
+    /// Handles calls again after an outage.
     pub fn come_back(&mut self, now: Time) {
         self.is_up = true;
         self.idle_since = now;
     }
 
-    /// Proxies whose watch is established.
+    /// The proxies whose watch is established.
     pub fn watches(&self) -> &[usize] {
         &self.watches
     }
 
-    /// Ends all watches; returns the proxies that had one.
+    /// Ends all watches and returns their proxies.
     pub fn take_watches(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.watches)
     }
 
-    /// Ends all calls; returns the proxies that called.
+    /// Ends all calls and returns their proxies.
     pub fn take_calls(&mut self) -> Vec<usize> {
         let active = self.active_call.take().map(|call| call.proxy);
         let queued = std::mem::take(&mut self.queue)
@@ -113,7 +114,7 @@
     /// Queues a proxy's call, unless its watch is established.
     pub fn call(&mut self, proxy: usize, now: Time) {
         if !self.watches.contains(&proxy) {
-            self.calls.push(now);
+            self.call_times.push(now);
             self.queue.push_back(QueuedCall {
                 proxy,
                 queued_at: now,
@@ -121,12 +122,12 @@
         }
     }
 
-    /// How many calls have come after this time.
+    /// Number of calls after the given time.
     pub fn calls_after(&self, from: Time) -> usize {
-        self.calls.iter().filter(|at| **at > from).count()
+        self.call_times.iter().filter(|at| **at > from).count()
     }
 
-    /// The next thing that has happened to a call by now.
+    /// The next call that has been handled or has timed out by now; `None` if there is none.
     pub fn next_event(&mut self, now: Time) -> Option<CallEvent> {
         loop {
             if let Some(proxy) = self.finish_call(now) {
@@ -165,19 +166,19 @@
         self.watches.push(proxy);
     }
 
-    /// Publishes a new version of the endpoint list, of which no proxy has been notified yet.
+    /// Publishes a new version of the endpoint list. No proxy has been notified of it yet.
     pub fn publish(&mut self, changes: Vec<Endpoint>) {
         self.version += 1;
         self.notified_at.fill(None);
         self.changes = changes;
     }
 
-    /// Whether a proxy lacks the newest version.
+    /// Whether a proxy has not been notified of the newest version.
     pub fn is_outdated(&self, proxy: usize) -> bool {
         self.proxy_versions[proxy] < self.version
     }
 
-    /// Records that a proxy is notified of the newest version; returns its changes.
+    /// Records that a proxy is notified of the newest version; returns the changed entries.
     pub fn notify(&mut self, proxy: usize, now: Time) -> Vec<Endpoint> {
         self.notified_at[proxy] = Some(now);
         self.proxy_versions[proxy] = self.version;
--- a/crates/balancer/tests/halb.rs
+++ b/crates/balancer/tests/halb.rs
@@ -1,13 +1,15 @@
-//! The traffic shares of the HALB solution, against values worked out by hand from the paper's
-//! formula.
+//! The traffic shares that HALB computes, compared with values calculated by hand from the formula
+//! of the paper.
 //!
-//! With `n` ready backends of speed `s` of each machine type, the formula gives a type this flow:
+//! For a machine type with `n` ready backends of speed `s`, the formula gives this flow, where the
+//! sums are over all machine types:
 //!
 //! ```text
 //! n * s - n * sqrt(s) * (speeds - rate) / roots,  speeds = sum(n * s),  roots = sum(n * sqrt(s))
 //! ```
 //!
-//! A machine type whose flow is negative is clamped to none, and the rest is solved again.
+//! A machine type with a negative flow gets no traffic, and the formula is applied again to the
+//! other types.
 
 use brookstack_balancer::{halb_shares, MachineGroup};
 
@@ -20,7 +22,7 @@
     }
 }
 
-/// One backend of speed 4 and one of speed 1: roots 3, speeds 5.
+/// One backend of speed 4 and one of speed 1; for these, roots is 3 and speeds is 5.
 const FAST_AND_SLOW: [MachineGroup; 2] = [group(1.0, 4.0), group(1.0, 1.0)];
 
 fn assert_shares(actual: Vec<f64>, expected: &[f64]) {
@@ -35,8 +37,8 @@
 }
 
 #[test]
-fn machine_types_with_positive_flows_share_the_traffic() {
-    // Flows 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
+fn machine_types_with_positive_flows_share_the_traffic_by_their_flows() {
+    // The flows are 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
     assert_shares(
         halb_shares(&FAST_AND_SLOW, Some(3.5)),
         &[6.0 / 7.0, 1.0 / 7.0],
@@ -50,9 +52,9 @@
 }
 
 #[test]
-fn a_clamped_machine_type_is_removed_and_the_rest_is_solved_again() {
-    // Of all three: roots 6, speeds 14, the third flow is 1 - 8.5 / 6 < 0.
-    // Of the first two: roots 5, speeds 13, flows 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
+fn shares_are_computed_again_without_a_machine_type_that_has_a_negative_flow() {
+    // With all three types: roots 6, speeds 14; the third flow is 1 - 8.5 / 6 < 0.
+    // With the first two: roots 5, speeds 13; the flows are 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
     let groups = [group(1.0, 9.0), group(1.0, 4.0), group(1.0, 1.0)];
     assert_shares(
         halb_shares(&groups, Some(5.5)),
@@ -62,17 +64,17 @@
 
 #[test]
 fn machine_types_are_weighted_by_their_ready_counts_which_may_be_fractions() {
-    // Roots 2 * 2 + 0.5 = 4.5, speeds 8.5.
+    // Roots is 2 * 2 + 0.5 = 4.5, speeds is 8.5.
     let groups = [group(2.0, 4.0), group(0.5, 1.0)];
-    // At 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
+    // At 4 requests a second, (8.5 - 4) / 4.5 = 1; the flows are 8 - 4 and 0.5 - 0.5.
     assert_shares(halb_shares(&groups, Some(4.0)), &[1.0, 0.0]);
-    // At 6.25 a second (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
+    // At 6.25 requests a second, (8.5 - 6.25) / 4.5 = 0.5; the flows are 8 - 2 and 0.5 - 0.25.
     assert_shares(halb_shares(&groups, Some(6.25)), &[0.96, 0.04]);
 }
 
 #[test]
-fn above_capacity_all_traffic_is_still_shared() {
-    // (5 - 8) / 3 = -1: flows 4 + 2 and 1 + 1.
+fn all_traffic_is_shared_even_above_the_capacity() {
+    // (5 - 8) / 3 = -1; the flows are 4 + 2 and 1 + 1.
     assert_shares(halb_shares(&FAST_AND_SLOW, Some(8.0)), &[0.75, 0.25]);
 }
 
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_single_ready_machine_type_takes_all_traffic_and_without_one_nothing_is_shared() {
+fn a_single_ready_machine_type_takes_all_traffic_and_types_that_are_not_ready_take_none() {
     assert_shares(halb_shares(&[group(2.0, 3.0)], Some(1.0)), &[1.0]);
     assert_shares(
         halb_shares(&[group(0.0, 3.0), group(0.0, 1.0)], Some(1.0)),
--- a/crates/balancer/tests/offers.rs
+++ b/crates/balancer/tests/offers.rs
@@ -1,4 +1,7 @@
-//! A request is offered to the backends before it is judged by the latency that is to be expected.
+//! A request is offered to the backends before a check of the requests may reject it.
+//!
+//! A periodic check gives up each waiting request that, with its expected latency, can no longer be
+//! answered in time. After a pause of the process, that check is overdue.
 
 mod common;
 use brookstack_balancer::*;
@@ -7,14 +10,15 @@
 use common::test_host::TestHost;
 use common::traffic::CLIENT_TIMEOUT;
 
-/// An objective of which even a quarter, the latency that is assumed before the first response, is
-/// longer than clients wait.
+/// A long latency objective. Before the first response, a quarter of the objective is assumed as
+/// the latency. That is longer than clients wait.
 const LONG_OBJECTIVE: Micros = seconds(60);
-/// For so long the process gets no processor time.
-const HOLD_UP: Micros = seconds(1);
+/// How long the process gets no processor time.
+const PAUSE: Micros = seconds(1);
 
-/// A host whose requests have a long objective. A check of the requests is due.
-fn held_up_host() -> TestHost {
+/// A host whose requests have a long objective and whose process was paused, so that a check of the
+/// requests is overdue.
+fn paused_host() -> TestHost {
     let mut config = Config::example();
     for class in &mut config.classes {
         class.latency_objective = LONG_OBJECTIVE;
@@ -23,24 +27,24 @@
     let request = host.send_request(CLIENT_TIMEOUT);
     host.end_attempt(request, 0, Outcome::Error);
     host.advance(millis(1));
-    host.now = host.now + HOLD_UP;
+    host.now = host.now + PAUSE;
     host
 }
 
-/// On a loaded machine a request could arrive when a check of the requests was overdue. It was
-/// judged by that check before any backend had been considered, and rejected at once.
 #[test]
-fn a_request_that_arrives_when_a_check_is_overdue_is_offered_first() {
-    let mut host = held_up_host();
+fn a_request_that_arrives_when_a_check_is_overdue_is_dispatched() {
+    // On a loaded machine a request could arrive when a check of the requests was overdue. The
+    // check rejected it immediately, before any backend had been considered for it.
+    let mut host = paused_host();
     let request = host.send_request(CLIENT_TIMEOUT);
     assert_eq!(host.backends_of(request).len(), 1);
 }
 
-/// The same happened to a request whose attempt was rejected: it was not offered to the other
-/// backend.
 #[test]
-fn a_request_whose_attempt_is_rejected_when_a_check_is_overdue_is_offered_again_first() {
-    let mut host = held_up_host();
+fn a_request_whose_attempt_is_rejected_when_a_check_is_overdue_is_retried() {
+    // An overdue check also rejected a request whose attempt had been rejected by a backend, before
+    // the other backend had been considered for it.
+    let mut host = paused_host();
     let request = host.send_request(CLIENT_TIMEOUT);
     host.advance(millis(1));
     host.now = host.now + millis(400);
@@ -48,11 +52,11 @@
     assert_eq!(host.backends_of(request).len(), 2);
 }
 
-/// Nothing is known of the latency of a class before its first response, so that a quarter of its
-/// objective is assumed, which may be more time than the client has left. A waiting request was
-/// rejected for that at the first check, 20 ms after it came.
 #[test]
-fn a_waiting_request_of_a_class_without_a_response_is_not_judged_by_a_longer_objective() {
+fn a_waiting_request_is_not_rejected_because_of_a_latency_that_is_only_assumed() {
+    // The latency of a class is unknown before its first response. A quarter of its objective is
+    // assumed, which may be longer than the client will wait. A waiting request was rejected for
+    // that reason at the first check, 20 ms after its arrival.
     let mut config = config_with_classes(vec![
         class(Idempotency::Idempotent),
         class(Idempotency::Idempotent),
@@ -70,11 +74,11 @@
     assert_eq!(host.backends_of(request).len(), 1);
 }
 
-/// A check that was overdue rejected a waiting request in the very event that made a backend
-/// available.
 #[test]
-fn a_waiting_request_is_offered_to_a_backend_that_is_ready_before_an_overdue_check_judges_it() {
-    let mut host = held_up_host();
+fn a_waiting_request_is_dispatched_if_a_backend_becomes_ready_when_a_check_is_overdue() {
+    // An overdue check rejected a waiting request during the same event that made a backend
+    // available.
+    let mut host = paused_host();
     host.update_endpoints(EndpointUpdate::Snapshot, draining_backends());
     let request = host.send_request(CLIENT_TIMEOUT);
     host.now = host.now + millis(850);
@@ -83,8 +87,8 @@
 }
 
 #[test]
-fn a_request_whose_deadline_is_over_is_rejected_without_an_offer() {
-    let mut host = held_up_host();
+fn a_request_whose_deadline_has_passed_is_rejected_without_a_dispatch() {
+    let mut host = paused_host();
     let request = host.send_request(Micros(0));
     assert!(host.backends_of(request).is_empty());
     assert_eq!(host.completion(request), Some(Completion::Rejected));
@@ -96,7 +100,7 @@
     assert_eq!(host.completion(waiting), Some(Completion::Rejected));
 }
 
-/// Two backends that accept no request.
+/// Two draining backends.
 fn draining_backends() -> Vec<Endpoint> {
     let drain = |endpoint| Endpoint {
         state: BackendState::Draining,
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Ejection of backends that return errors, are unresponsive or unreachable, and their return.
+//! Ejection of backends that return errors, do not respond or cannot be reached, and their return
+//! after the ejection.
 
 mod common;
 use brookstack_balancer::*;
@@ -52,15 +53,18 @@
     let during_ejection = serve_sequentially(&mut host, 40, |_| millis(5));
     assert!(
         !during_ejection.contains(&FAULTY),
-        "used while it was ejected"
+        "the faulty backend was used while it was ejected"
     );
     host.advance(seconds(2));
     let after_ejection = serve_sequentially(&mut host, 60, |_| millis(5));
-    assert!(after_ejection.contains(&FAULTY), "it never returned");
+    assert!(
+        after_ejection.contains(&FAULTY),
+        "the faulty backend was not used after its ejection"
+    );
 }
 
 #[test]
-fn when_most_backends_are_faulty_they_are_used_nevertheless() {
+fn faulty_backends_are_still_used_if_most_backends_are_faulty() {
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::Idempotent), backends(4));
     serve_sequentially(&mut host, 40, |_| millis(10));
@@ -86,15 +90,15 @@
     let chosen = serve_sequentially(&mut host, 80, |_| millis(5));
     assert!(
         chosen.iter().any(|backend| *backend != 0),
-        "all load went to the one healthy backend"
+        "all traffic went to the one healthy backend"
     );
 }
 
-/// Backends that accept only some of their requests, as under a rate limit. If each rejection
-/// ejected its backend, too few would be left for the rest; and retries of requests that were not
-/// executed are no load to be limited.
 #[test]
-fn backends_that_reject_some_requests_are_used_for_the_rest() {
+fn backends_that_reject_some_requests_are_used_for_the_others() {
+    // Some backends accept only a part of their requests, for example under a rate limit. If each
+    // rejection ejected its backend, too few backends would be left for the other requests. Retries
+    // of requests that were not executed add no load, so they must not be limited.
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::NonIdempotent), backends(4));
     let mut received = [0; 4];
@@ -131,7 +135,7 @@
     );
 }
 
-/// How many of 30 requests go to one of two backends after so many of its connections were reset.
+/// How many of 30 requests go to one of two backends after `resets` of its connections were reset.
 fn received_after_resets(resets: usize) -> usize {
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::Idempotent), backends(2));
@@ -158,10 +162,10 @@
     count_backends(&chosen, |backend| backend == 0)
 }
 
-/// One reset connection does not mean that the backend is down: a backend that is down refuses the
-/// next connection.
 #[test]
-fn a_single_reset_ejects_no_backend() {
+fn several_reset_connections_eject_a_backend_but_a_single_one_does_not() {
+    // A single reset connection does not show that the backend is down: a backend that is down
+    // refuses the next connection.
     let after_one = received_after_resets(1);
     assert!(after_one >= 5, "{after_one} of 30 after one reset");
     assert_eq!(received_after_resets(4), 0);
@@ -169,8 +173,8 @@
 
 #[test]
 fn an_attempt_abandoned_after_its_latency_objective_counts_against_the_backend() {
-    // Clients disconnected before their deadline, so that overloaded backends showed only
-    // cancellations.
+    // Clients disconnected before their deadline. Attempts on overloaded backends then ended only
+    // as cancelled, which did not count against the backend.
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::NonIdempotent), backends(6));
     serve_sequentially(&mut host, 60, |_| millis(10));
@@ -182,14 +186,15 @@
     let chosen = serve_sequentially(&mut host, 30, |_| millis(5));
     assert!(
         !chosen.contains(&unresponsive),
-        "it still receives its share"
+        "the unresponsive backend still receives requests"
     );
 }
 
 #[test]
 fn one_error_ejects_a_backend_that_a_proxy_uses_every_four_seconds() {
-    // The first seconds of a fault at ten of a hundred proxies: each used a faulty backend every
-    // four seconds, waited for a second error and had the backend back a second later.
+    // In the first seconds of a fault, each of ten proxies out of a hundred used a faulty backend
+    // only every four seconds. It ejected the backend only after a second error and used it again a
+    // second later.
     let mut host = TestHost::one_of_a_hundred_proxies();
     let is_faulty = |backend: u32| backend < 6;
     let fault = |backend: u32| is_faulty(backend).then_some(Outcome::Error);
@@ -198,13 +203,13 @@
     let errors = count_backends(&during_fault, is_faulty);
     assert!(
         (1..=20).contains(&errors),
-        "{errors} of about 300 attempts on the tenth that is faulty"
+        "{errors} of about 300 attempts went to the faulty tenth of the backends"
     );
     serve_steadily_without_faults(&mut host, 150);
     let after_fault = serve_steadily_without_faults(&mut host, 300);
     let returned = count_backends(&after_fault, is_faulty);
     assert!(
         returned >= 15,
-        "{returned} of 300 after they have recovered"
+        "{returned} of 300 went to the backends that were faulty, after their recovery"
     );
 }
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Retries and hedged requests: when a request gets another attempt, and when none is safe.
+//! Retries and hedged requests: when a request gets another attempt, and when another attempt is
+//! not safe.
 
 mod common;
 use brookstack_balancer::*;
@@ -8,7 +9,7 @@
 use common::traffic::*;
 
 #[test]
-fn an_unresponsive_backend_receives_nothing_new_and_its_requests_are_hedged() {
+fn an_unresponsive_backend_receives_no_new_requests_and_its_requests_are_hedged() {
     let mut host =
         TestHost::with_endpoints(config_with_class(Idempotency::Idempotent), backends(6));
     serve_sequentially(&mut host, 100, |_| millis(10));
@@ -18,7 +19,7 @@
     assert_eq!(
         host.backends_of(request).len(),
         1,
-        "hedged a request that is merely heavy: such attempts overload every backend"
+        "hedged a request that may only need much work; such attempts overload every backend"
     );
     host.advance(millis(50));
     let chosen = serve_sequentially(&mut host, 30, |_| millis(5));
@@ -84,7 +85,7 @@
     assert_eq!(
         host.backends_of(after_window).len(),
         attempts,
-        "retried after its window"
+        "retried after the window of the idempotency key"
     );
     assert_eq!(host.completion(after_window), Some(Completion::Failed));
 }
--- a/crates/balancer/tests/subset.rs
+++ b/crates/balancer/tests/subset.rs
@@ -1,4 +1,4 @@
-//! The subset of a large endpoint list that a proxy uses.
+//! Which subset of a large endpoint list a proxy uses.
 
 mod common;
 use brookstack_balancer::*;
@@ -9,25 +9,25 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Requests that show which backends a proxy uses.
+/// Number of requests that are sent to find out which backends a proxy uses.
 const REQUEST_COUNT: usize = 700;
-/// How many backends these requests use; with all of 2,000 backends they would use 590 of them,
-/// each once.
+/// Number of backends that these requests use. If the proxy used all 2,000 backends, the requests
+/// would use 590 of them, each once.
 const BACKENDS_IN_USE: RangeInclusive<usize> = 180..=300;
 
-/// The backends that [`REQUEST_COUNT`] requests use.
+/// Sends [`REQUEST_COUNT`] requests and returns the backends that they used.
 fn backends_used(host: &mut TestHost) -> BTreeSet<u32> {
     serve_steadily_without_faults(host, REQUEST_COUNT)
         .into_iter()
         .collect()
 }
 
-/// Whether a backend stays; the other half of the backends is drained and removed.
+/// Whether a backend stays in the list. The other half of the backends is drained and removed.
 fn stays(backend: u32) -> bool {
     backend % 4 >= 2
 }
 
-/// The entries of the backends that do not stay, in another state.
+/// The entries of the backends that do not stay, with the given state.
 fn leaving_backends(endpoints: &[Endpoint], state: BackendState) -> Vec<Endpoint> {
     let leaving = endpoints
         .iter()
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// One of 300 proxies in front of these backends.
+/// One of 300 proxies with the given endpoint list.
 fn host_with_subset(endpoints: Vec<Endpoint>) -> TestHost {
     let config = Config {
         proxy_index: 77,
@@ -50,8 +50,8 @@
     TestHost::with_seed(config, 5, endpoints)
 }
 
-/// Drains half of the backends. The test host accepts no dispatch to a draining backend; the subset
-/// is completed from the other backends.
+/// Drains half of the backends and checks that the proxy uses none of them and otherwise keeps its
+/// subset, which other backends complete. The test host panics on a dispatch to a draining backend.
 fn assert_kept_while_draining(host: &mut TestHost, endpoints: &[Endpoint], before: &BTreeSet<u32>) {
     let draining = leaving_backends(endpoints, BackendState::Draining);
     host.update_endpoints(EndpointUpdate::Delta, draining);
@@ -64,11 +64,12 @@
     let kept = while_draining.intersection(before).count();
     assert!(
         kept * 10 >= in_use * 9,
-        "the subset changed while backends drain: {kept} of {in_use} kept"
+        "the subset changed while backends were draining: {kept} of {in_use} kept"
     );
 }
 
-/// Removes the draining half of the backends.
+/// Removes the draining half of the backends and checks that other backends replace them in the
+/// subset.
 fn assert_replaced_after_removal(
     host: &mut TestHost,
     endpoints: &[Endpoint],
--- a/crates/balancer/tests/zone_aware_routing.rs
+++ b/crates/balancer/tests/zone_aware_routing.rs
@@ -1,6 +1,6 @@
-//! Where crossing zones has a cost, traffic stays in the proxy's own zone as far as that zone's
-//! share of the backends allows; an idle fleet serves every request and uses every backend,
-//! whatever its zones are called.
+//! Zone-aware routing. If traffic to other zones has a cost, it stays in the proxy's own zone as
+//! far as that zone's share of the backends allows. An idle fleet serves every request and uses
+//! every backend, whichever zones the endpoint list names.
 
 mod common;
 use brookstack_balancer::*;
@@ -8,7 +8,7 @@
 use common::test_host::TestHost;
 use common::traffic::*;
 
-/// The cost of crossing zones, where it has one.
+/// The configured cost of traffic to other zones, in tests where it has one.
 const CROSS_ZONE_COST: f64 = 0.05;
 
 fn zone_config(proxy_count: u32, zone_count: u32, cross_zone_cost: f64) -> Config {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn traffic_stays_in_its_zone_where_crossing_zones_has_a_cost() {
+fn traffic_stays_in_its_zone_if_cross_zone_traffic_has_a_cost() {
     let with_cost = requests_in_own_zone(CROSS_ZONE_COST, 3);
     assert!(with_cost >= 270, "{with_cost} of 300 stayed");
     let without_cost = requests_in_own_zone(0.0, 3);
@@ -39,17 +39,17 @@
     );
 }
 
-/// Two proxies over three zones: if each stayed in its own zone, the third would receive no
-/// traffic.
 #[test]
-fn zones_with_unequal_numbers_of_proxies_share_all_backends() {
+fn traffic_is_spread_over_all_backends_if_zones_have_unequal_numbers_of_proxies() {
+    // Two proxies and three zones: if all traffic stayed in the proxies' own zones, the third zone
+    // would receive none.
     let stayed = requests_in_own_zone(CROSS_ZONE_COST, 2);
     assert!((70..=130).contains(&stayed), "{stayed} of 300 stayed");
 }
 
-/// If its own zone is out of use, a proxy's traffic goes to the other zones, as many as there are.
 #[test]
-fn a_zone_without_backends_causes_no_rejections() {
+fn the_loss_of_all_backends_in_the_own_zone_causes_no_rejections() {
+    // All traffic of the proxy must go to the other zones.
     let config = zone_config(3, 3, CROSS_ZONE_COST);
     let all = backends_across_zones(9, 3);
     let mut host = TestHost::with_endpoints(config, all.clone());
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_zone_with_too_few_backends_sends_its_surplus_to_other_zones() {
-    // The own zone holds one of seven backends; the proxies of three zones bring a third of the
-    // traffic each, so that 3/7 of it may stay.
+    // One of seven backends is in the proxy's own zone. The proxies of each of the three zones send
+    // a third of the traffic, so 3/7 of the own zone's traffic may stay in it.
     let endpoints = (0..7)
         .map(|id| backend(id, if id == 0 { 0 } else { 1 + id % 2 }, 0))
         .collect();
@@ -77,22 +77,22 @@
     let stayed = count_backends(&chosen, |backend| backend == 0);
     assert!(
         (120..=220).contains(&stayed),
-        "{stayed} of 400 stayed on the one backend of the own zone"
+        "{stayed} of 400 went to the one backend of the own zone"
     );
 }
 
-/// What came of requests to an idle fleet.
+/// The result of the requests to an idle fleet.
 struct IdleFleetResult {
-    /// Requests that were not dispatched.
+    /// Number of requests that were not dispatched.
     rejected: usize,
-    /// Requests that each backend received.
+    /// Number of requests that each backend received.
     received: Vec<usize>,
 }
 
-/// The requests sent to an idle fleet.
+/// Number of requests sent to an idle fleet.
 const IDLE_FLEET_REQUESTS: usize = 320;
 
-/// Sends requests one by one to an idle fleet; `zones` are the zones of its backends.
+/// Sends requests one after the other to an idle fleet. `zones` gives the zone of each backend.
 fn serve_idle_fleet(proxy_count: u32, zone_count: u32, zones: &[u32]) -> IdleFleetResult {
     let endpoints = (0..)
         .zip(zones)
@@ -116,8 +116,8 @@
     result
 }
 
-/// Checks that all requests are served and evenly distributed, with as many proxies as the
-/// configured zones divide and with one more.
+/// Checks that all requests are served and evenly distributed, for numbers of proxies that are
+/// multiples of the configured number of zones and for one proxy more.
 fn assert_served_evenly(zone_count: u32, zones: &[u32]) {
     for proxy_count in [
         2 * zone_count,
@@ -140,28 +140,28 @@
 }
 
 #[test]
-fn more_zones_than_configured_and_the_own_not_among_them_are_served_evenly() {
-    // 207 of 218 requests were once rejected here: the share of the traffic that the own zone could
-    // not take was given to no other zone.
+fn load_is_even_with_more_zones_than_configured_and_no_backend_in_the_own_zone() {
+    // 207 of 218 requests were rejected: the part of the traffic that the own zone could not take
+    // was assigned to no other zone.
     let zones: Vec<u32> = (0..16).map(|id| 10 + id % 8).collect();
     assert_served_evenly(2, &zones);
 }
 
 #[test]
-fn more_zones_than_configured_and_the_own_among_them_are_served_evenly() {
+fn load_is_even_with_more_zones_than_configured_and_backends_in_the_own_zone() {
     let zones: Vec<u32> = (0..16).map(|id| id % 8).collect();
     assert_served_evenly(2, &zones);
 }
 
 #[test]
-fn more_zones_than_configured_of_which_one_holds_most_backends_are_served_evenly() {
-    // When traffic left the other zones by the configured number of zones, nearly all of it went to
-    // the largest zone.
+fn load_is_even_with_more_zones_than_configured_and_most_backends_in_one_zone() {
+    // The traffic that leaves each zone was computed from the configured number of zones. Nearly
+    // all of the traffic went to the largest zone.
     assert_served_evenly(2, &[0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 3, 4, 5, 6, 7]);
 }
 
 #[test]
-fn as_many_zones_as_configured_and_the_own_not_among_them_are_served_evenly() {
+fn load_is_even_with_as_many_zones_as_configured_and_no_backend_in_the_own_zone() {
     let two_zones: Vec<u32> = (0..16).map(|id| 10 + id % 2).collect();
     assert_served_evenly(2, &two_zones);
     let three_zones: Vec<u32> = (0..15).map(|id| 10 + id % 3).collect();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn an_own_zone_with_one_backend_of_many_is_served_evenly() {
+fn load_is_even_with_more_zones_than_configured_and_one_backend_in_the_own_zone() {
     let zones: Vec<u32> = (0..16)
         .map(|id| if id == 0 { 0 } else { 1 + id % 7 })
         .collect();
@@ -177,16 +177,16 @@
 }
 
 #[test]
-fn a_single_zone_that_is_not_the_own_is_served_evenly() {
+fn load_is_even_with_all_backends_in_one_other_zone() {
     assert_served_evenly(1, &[4; 10]);
     assert_served_evenly(2, &[4; 10]);
     assert_served_evenly(3, &[4; 10]);
 }
 
-/// Where the list has the configured zones, a proxy in a tiny zone keeps that zone's share and
-/// sends the rest to other zones.
 #[test]
-fn a_tiny_own_zone_among_the_configured_ones_causes_no_rejections() {
+fn an_own_zone_with_one_backend_takes_its_share_and_causes_no_rejections() {
+    // The endpoint list has the configured zones. A proxy in a tiny zone sends that zone its share
+    // and the rest of its traffic to the other zone.
     let zones: Vec<u32> = (0..16).map(|id| u32::from(id > 0)).collect();
     for proxy_count in [4, 5, 60, 61] {
         let IdleFleetResult { rejected, received } = serve_idle_fleet(proxy_count, 2, &zones);
@@ -195,12 +195,12 @@
             received.iter().all(|count| *count > 0),
             "{proxy_count} proxies: {received:?}"
         );
-        // Half of the proxies are in the zone with one of sixteen backends: it receives twice its
-        // share of their traffic.
-        let is_divided_by_zones = proxy_count % 2 == 0;
+        // Half of the proxies are in the zone with one of sixteen backends, so that backend
+        // receives twice its even share of their traffic.
+        let zones_have_equal_proxies = proxy_count % 2 == 0;
         let own_zone = received[0];
         assert!(
-            !is_divided_by_zones || (20..=60).contains(&own_zone),
+            !zones_have_equal_proxies || (20..=60).contains(&own_zone),
             "{proxy_count} proxies: {received:?}"
         );
     }
