--- a/crates/balancer/tests/common/test_host.rs
+++ b/crates/balancer/tests/common/test_host.rs
@@ -57,7 +57,7 @@
 impl TestHost {
     /// Creates a host whose balancer has no endpoint list yet.
     pub fn new(config: Config, seed: u64) -> TestHost {
-        let balancer = Balancer::new(config.clone(), seed).expect("a valid configuration");
+        let balancer = Balancer::new(config.clone(), seed).expect("the configuration is valid");
         TestHost {
             config,
             balancer,
--- a/crates/balancer/tests/common/test_host/actions.rs
+++ b/crates/balancer/tests/common/test_host/actions.rs
@@ -33,7 +33,9 @@
     }
 
     fn known_request(&mut self, request: RequestId) -> &mut RequestRecord {
-        self.requests.get_mut(&request).expect("a known request")
+        self.requests
+            .get_mut(&request)
+            .expect("the host knows the request of an action")
     }
 
     fn dispatch(&mut self, request: RequestId, backend: BackendId) {
@@ -77,7 +79,10 @@
     }
 
     fn reject(&mut self, request: RequestId) {
-        let record = self.requests.get_mut(&request).expect("a known request");
+        let record = self
+            .requests
+            .get_mut(&request)
+            .expect("the host knows the request of a rejection");
         let safe_to_repeat = matches!(
             self.config.classes[record.class].idempotency,
             Idempotency::Idempotent
--- a/crates/balancer/tests/common/test_host/requests.rs
+++ b/crates/balancer/tests/common/test_host/requests.rs
@@ -122,7 +122,10 @@
 
     /// Disconnects the client of an open request.
     pub fn disconnect_client(&mut self, request: RequestId) {
-        let record = self.requests.get_mut(&request).expect("a known request");
+        let record = self
+            .requests
+            .get_mut(&request)
+            .expect("the host knows the request");
         record.completion = Some(Completion::ClientDisconnected);
         self.handle_event(Event::ClientDisconnected { request });
     }
--- a/crates/balancer/tests/discovery_watch.rs
+++ b/crates/balancer/tests/discovery_watch.rs
@@ -1,7 +1,8 @@
 //! When a proxy polls discovery, and for how long it trusts its endpoint list.
 //!
 //! A proxy counts as notified of a change at the latest 6 s after discovery had the change and
-//! could be polled, even if no response reached the proxy. From then on, its list is stale.
+//! could be polled, even if no response reached the proxy. From then on, a list that may lack
+//! the change is stale.
 
 mod common;
 use brookstack_balancer::*;
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -19,7 +19,7 @@
     assert_eq!(
         host.backends_of(request).len(),
         1,
-        "hedged a request that may only need much work; such attempts overload every backend"
+        "hedged a request that may only need much work; such hedges overload every backend"
     );
     host.advance(millis(50));
     let chosen = serve_sequentially(&mut host, 30, |_| millis(5));
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -20,11 +20,11 @@
 fn a_backend_in_slow_start_receives_no_more_than_its_quota() {
     let mut host = TestHost::with_endpoints(slow_start_config(1), backends(3));
     serve_sequentially(&mut host, 200, |_| millis(20));
-    let warming = Endpoint {
+    let restarted = Endpoint {
         started_at: Some(host.now),
         ..backend(9, 0, 0)
     };
-    host.update_endpoints(EndpointUpdate::Delta, vec![warming]);
+    host.update_endpoints(EndpointUpdate::Delta, vec![restarted]);
     // This takes two seconds, which is one overload window.
     let chosen = serve_sequentially(&mut host, 100, |_| millis(20));
     let received = count_backends(&chosen, |backend| backend == 9);
@@ -84,13 +84,13 @@
         weight: 0.02,
         ..backend
     });
-    let warming = Endpoint {
+    let restarted = Endpoint {
         started_at: Some(host.now),
         ..backend(36, 0, 0)
     };
     host.update_endpoints(
         EndpointUpdate::Snapshot,
-        overloaded.chain([warming]).collect(),
+        overloaded.chain([restarted]).collect(),
     );
     let chosen = serve_sequentially(&mut host, 300, |_| millis(30));
     let received = count_backends(&chosen, |backend| backend == 36);
--- a/crates/balancer/tests/slow_start_fleet/agenda.rs
+++ b/crates/balancer/tests/slow_start_fleet/agenda.rs
@@ -1,10 +1,10 @@
-//! What is still to happen in a simulation, in the order of time.
+//! The queue of the scheduled events of a simulation, in the order of time.
 
 use brookstack_balancer::{AttemptNumber, Micros, Outcome, RequestId, Time, TimerToken};
 use std::collections::BTreeMap;
 
-/// Something that happens in a simulation.
-pub enum Step {
+/// A scheduled event of a simulation.
+pub enum SimulationEvent {
     /// A request arrives at a proxy.
     Arrival {
         /// The proxy.
@@ -14,14 +14,14 @@
     Timer {
         /// The proxy.
         proxy: usize,
-        /// The generation of processes that set it.
+        /// The generation of proxy processes that set the timer.
         generation: u32,
-        /// Its token.
+        /// The token of the timer.
         token: TimerToken,
     },
     /// An attempt ends.
     AttemptEnd(FinishedAttempt),
-    /// Backends restart, are removed or become faulty.
+    /// The fault: backends restart, are removed or become faulty.
     Fault,
     /// All proxies restart.
     ProxiesRestart,
@@ -31,7 +31,7 @@
 pub struct FinishedAttempt {
     /// The proxy that dispatched it.
     pub proxy: usize,
-    /// The generation of processes that dispatched it.
+    /// The generation of proxy processes that dispatched it.
     pub generation: u32,
     /// Its request.
     pub request: RequestId,
@@ -45,45 +45,46 @@
     pub outcome: Outcome,
 }
 
-/// The steps to come.
-pub struct Agenda {
+/// The events that have not occurred yet.
+pub struct EventQueue {
     tick: Micros,
-    steps: BTreeMap<StepKey, Step>,
+    events: BTreeMap<EventKey, SimulationEvent>,
     last_sequence_number: u64,
 }
 
-/// Steps at the same time happen in the order in which they were scheduled.
+/// The order of the events: by time, and at the same time in the order in which they were
+/// scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct StepKey {
+struct EventKey {
     at: Time,
     sequence_number: u64,
 }
 
-impl Agenda {
-    /// An empty agenda of a clock with this tick.
-    pub fn new(tick: Micros) -> Agenda {
-        Agenda {
+impl EventQueue {
+    /// Creates an empty queue for a clock with the given tick.
+    pub fn new(tick: Micros) -> EventQueue {
+        EventQueue {
             tick,
-            steps: BTreeMap::new(),
+            events: BTreeMap::new(),
             last_sequence_number: 0,
         }
     }
 
-    /// Adds a step at the end of the tick that holds `at`: proxies are notified of events once a
-    /// tick.
-    pub fn schedule(&mut self, at: Time, step: Step) {
+    /// Schedules an event at the end of the tick that contains `at`, because proxies receive events
+    /// once per tick.
+    pub fn schedule(&mut self, at: Time, event: SimulationEvent) {
         self.last_sequence_number += 1;
         let tick = self.tick.0;
-        let key = StepKey {
+        let key = EventKey {
             at: Time(at.0.div_ceil(tick) * tick),
             sequence_number: self.last_sequence_number,
         };
-        self.steps.insert(key, step);
+        self.events.insert(key, event);
     }
 
-    /// Takes the next step and its time.
-    pub fn pop(&mut self) -> Option<(Time, Step)> {
-        let (key, step) = self.steps.pop_first()?;
-        Some((key.at, step))
+    /// Removes the next event and returns it with its time.
+    pub fn pop(&mut self) -> Option<(Time, SimulationEvent)> {
+        let (key, event) = self.events.pop_first()?;
+        Some((key.at, event))
     }
 }
--- a/crates/balancer/tests/slow_start_fleet/main.rs
+++ b/crates/balancer/tests/slow_start_fleet/main.rs
@@ -1,6 +1,8 @@
-//! Warming backends under the sum of all proxies' traffic: what all proxies together send to a
-//! backend in any overload window must not exceed its present capacity by more than the settings
-//! allow.
+//! Simulations of the traffic of all proxies to backends in slow start. The work that all proxies
+//! together send to such a backend in any overload window must not exceed the multiple of its
+//! current capacity that the settings allow.
+//!
+//! The results are printed with `--nocapture`.
 
 mod agenda;
 mod report;
@@ -11,15 +13,15 @@
 use scenario::Scenario;
 use simulation::Simulation;
 
-/// The numbers of proxies and the seeds that each scenario is played with.
-const PLAYS: [(u32, u64); 5] = [(3, 1), (20, 1), (30, 1), (30, 2), (300, 1)];
+/// The numbers of proxies and the seeds with which each scenario is simulated.
+const PROXY_COUNTS_AND_SEEDS: [(u32, u64); 5] = [(3, 1), (20, 1), (30, 1), (30, 2), (300, 1)];
 
-/// Plays a scenario with several numbers of proxies and checks that no warming backend is
-/// overloaded in any of them. Returns the reports of the first seed.
-fn assert_none_overloaded(name: &str, scenario: impl Fn() -> Scenario) -> Vec<Report> {
+/// Simulates a scenario with several numbers of proxies and seeds, and checks that no backend in
+/// slow start is overloaded in any simulation. Returns the reports for seed 1.
+fn assert_no_overload(name: &str, scenario: impl Fn() -> Scenario) -> Vec<Report> {
     let mut reports = Vec::new();
     let mut failures = Vec::new();
-    for (proxy_count, seed) in PLAYS {
+    for (proxy_count, seed) in PROXY_COUNTS_AND_SEEDS {
         let scenario = Scenario {
             seed,
             proxy_count,
@@ -27,8 +29,8 @@
         };
         let report = Simulation::run(&scenario);
         println!(
-            "{name}: {proxy_count} proxies, seed {seed}: {} of {} overloaded, worst {:.2}, \
-             used {:.2}, served {:.3}",
+            "{name}: {proxy_count} proxies, seed {seed}: {} of {} backends overloaded, \
+             worst overload {:.2}, quota used {:.2}, served in time {:.3}",
             report.overloaded,
             scenario.restarted_backends,
             report.worst_overload,
@@ -46,18 +48,20 @@
     reports
 }
 
-/// Checks that warming backends are not starved either: each number of proxies uses this fraction
-/// of what is allowed.
-fn assert_quota_used(reports: &[Report], least: f64) {
+/// Checks that backends in slow start do not get too little work either: in each simulation they
+/// get at least this fraction of the work that the settings allow.
+fn assert_quota_used(reports: &[Report], min_fraction: f64) {
     assert!(
-        reports.iter().all(|report| report.quota_used >= least),
-        "less than {least} used: {reports:#?}"
+        reports
+            .iter()
+            .all(|report| report.quota_used >= min_fraction),
+        "less than {min_fraction} of the quota used: {reports:#?}"
     );
 }
 
 #[test]
 fn one_restarted_backend_is_not_overloaded() {
-    let reports = assert_none_overloaded("one", Scenario::default);
+    let reports = assert_no_overload("one restart", Scenario::default);
     assert_quota_used(&reports, 0.1);
     assert!(
         reports.iter().all(|report| report.served_in_time > 0.98),
@@ -66,12 +70,12 @@
 }
 
 #[test]
-fn a_restarted_rack_is_not_overloaded() {
+fn twelve_backends_that_restart_together_are_not_overloaded() {
     let scenario = || Scenario {
         restarted_backends: 12,
         ..Scenario::default()
     };
-    let reports = assert_none_overloaded("rack", scenario);
+    let reports = assert_no_overload("twelve restarts", scenario);
     assert_quota_used(&reports, 0.1);
     assert!(
         reports.iter().all(|report| report.served_in_time > 0.97),
@@ -86,7 +90,7 @@
         burst: 2.0,
         ..Scenario::default()
     };
-    assert_quota_used(&assert_none_overloaded("burst", scenario), 0.1);
+    assert_quota_used(&assert_no_overload("burst", scenario), 0.1);
 }
 
 #[test]
@@ -98,24 +102,24 @@
         burst: 1.5,
         ..Scenario::default()
     };
-    assert_quota_used(&assert_none_overloaded("small", scenario), 0.2);
+    assert_quota_used(&assert_no_overload("small backends", scenario), 0.2);
 }
 
-/// Most slow-start quotas are below the work of a heavy request.
 #[test]
 fn heavy_requests_count_by_their_work_against_the_slow_start_quota() {
+    // Most slow-start quotas are smaller than the work of a heavy request.
     let scenario = || Scenario {
         restarted_backends: 12,
         heavy_fraction: 0.2,
         burst: 1.5,
         ..Scenario::default()
     };
-    assert_quota_used(&assert_none_overloaded("heavy", scenario), 0.1);
+    assert_quota_used(&assert_no_overload("heavy requests", scenario), 0.1);
 }
 
 #[test]
-fn proxies_with_unequal_traffic_do_not_overload_warming_backends() {
-    assert_none_overloaded("unequal", || Scenario {
+fn proxies_with_unequal_traffic_do_not_overload_backends_in_slow_start() {
+    assert_no_overload("unequal traffic", || Scenario {
         restarted_backends: 12,
         busiest_proxy_traffic: 5.0,
         burst: 1.5,
@@ -123,25 +127,26 @@
     });
 }
 
-/// Where traffic stays in its zone, a backend's traffic comes from the proxies of its zone alone,
-/// which have the greater quotas.
 #[test]
-fn proxies_of_the_same_zone_do_not_overload_warming_backends() {
+fn proxies_of_the_same_zone_do_not_overload_backends_in_slow_start() {
+    // If traffic stays in its zone, a backend receives requests only from the proxies of its own
+    // zone, which have greater quotas than the others.
     let scenario = || Scenario {
         restarted_backends: 12,
         zone_count: 3,
         burst: 1.5,
         ..Scenario::default()
     };
-    let reports = assert_none_overloaded("zones", scenario);
-    // Three zones divide 3, 30 and 300 proxies. With one limit for near and far proxies 30 served
-    // 0.935.
+    let reports = assert_no_overload("three zones", scenario);
+    // 3, 30 and 300 proxies are divisible by three zones, so their traffic prefers its zone. With
+    // the same limit for proxies in the backend's zone and in others, 30 proxies served 0.935 of
+    // the requests in time.
     assert!(reports[2].served_in_time > 0.97, "{reports:#?}");
 }
 
 #[test]
-fn proxies_that_restart_during_a_burst_do_not_overload_warming_backends() {
-    assert_none_overloaded("restart", || Scenario {
+fn proxies_that_restart_during_a_burst_do_not_overload_backends_in_slow_start() {
+    assert_no_overload("proxy restart", || Scenario {
         restarted_backends: 12,
         burst: 2.0,
         load: 0.8,
@@ -150,37 +155,40 @@
     });
 }
 
-/// What the old processes have sent still counts, and the new ones do not know of it.
 #[test]
-fn proxies_that_restart_during_a_slow_start_do_not_overload_warming_backends() {
-    assert_none_overloaded("restart during slow start", || Scenario {
+fn proxies_that_restart_during_a_slow_start_do_not_overload_backends_in_slow_start() {
+    // The work that the old processes have sent still counts in the overload window, but the new
+    // processes do not know of it.
+    assert_no_overload("proxy restart during slow start", || Scenario {
         restarted_backends: 54,
         load: 0.8,
         burst: 5.0,
-        warming_backend_concurrency: 3.0,
+        restarted_backend_concurrency: 3.0,
         proxies_restart_after_s: Some(1.0),
         ..Scenario::default()
     });
 }
 
-/// No rate or latency is known and nothing has been sent, the whole fleet is warming up and there
-/// is a burst besides: what is rejected at once is retried at once.
 #[test]
-fn proxies_that_start_together_with_the_whole_fleet_do_not_overload_it() {
+fn proxies_that_start_together_with_all_backends_do_not_overload_them() {
+    // No rate or latency is known, nothing has been sent, all backends are in slow start, and there
+    // is a burst. In addition, attempts that are rejected immediately are retried immediately.
     let all_restart = || Scenario {
         restarted_backends: 60,
         load: 0.8,
         burst: 5.0,
         proxies_restart_after_s: Some(0.0),
-        warming_backend_concurrency: 3.0,
+        restarted_backend_concurrency: 3.0,
         ..Scenario::default()
     };
-    assert_none_overloaded("start", all_restart);
-    assert_none_overloaded("start, everything rejected", || Scenario {
-        backend_count: 20,
-        restarted_backends: 20,
-        warming_backend_concurrency: 0.0,
-        ..all_restart()
+    assert_no_overload("start of the whole fleet", all_restart);
+    assert_no_overload("start of the whole fleet, all attempts rejected", || {
+        Scenario {
+            backend_count: 20,
+            restarted_backends: 20,
+            restarted_backend_concurrency: 0.0,
+            ..all_restart()
+        }
     });
 }
 
@@ -191,32 +199,32 @@
         faulty_backends: 45,
         ..Scenario::default()
     };
-    assert_none_overloaded("retries", most_are_faulty);
-    assert_none_overloaded("retries, all other backends faulty", || Scenario {
+    assert_no_overload("retries", most_are_faulty);
+    assert_no_overload("retries, all other backends faulty", || Scenario {
         backend_count: 20,
         restarted_backends: 3,
         faulty_backends: 17,
         load: 0.8,
         burst: 3.0,
-        warming_backend_concurrency: 2.0,
+        restarted_backend_concurrency: 2.0,
         ..Scenario::default()
     });
 }
 
 #[test]
-fn the_removal_of_most_warm_backends_does_not_overload_warming_ones() {
+fn the_removal_of_most_other_backends_does_not_overload_backends_in_slow_start() {
     let most_are_removed = || Scenario {
         restarted_backends: 20,
         removed_backends: 36,
         ..Scenario::default()
     };
-    assert_none_overloaded("removal", most_are_removed);
-    assert_none_overloaded("removal of all other backends", || Scenario {
+    assert_no_overload("removal", most_are_removed);
+    assert_no_overload("removal of all other backends", || Scenario {
         backend_count: 20,
         restarted_backends: 3,
         removed_backends: 17,
         load: 0.8,
-        warming_backend_concurrency: 2.0,
+        restarted_backend_concurrency: 2.0,
         ..Scenario::default()
     });
 }
@@ -234,10 +242,10 @@
         proxies_restart_after_s: Some(0.0),
         ..few()
     };
-    assert_none_overloaded("few", proxies_restart);
-    assert_none_overloaded("few that reject", || Scenario {
+    assert_no_overload("few backends", proxies_restart);
+    assert_no_overload("few backends that reject attempts", || Scenario {
         restarted_backends: 6,
-        warming_backend_concurrency: 3.0,
+        restarted_backend_concurrency: 3.0,
         ..few()
     });
 }
--- a/crates/balancer/tests/slow_start_fleet/report.rs
+++ b/crates/balancer/tests/slow_start_fleet/report.rs
@@ -1,32 +1,33 @@
-//! What came of a simulation.
+//! The results of a simulation.
 
 use crate::scenario::{Scenario, FAULT_AT, OVERLOAD_WINDOW, SLOW_START_DURATION};
 use brookstack_balancer::{Micros, Time};
 
-/// An attempt that a backend was sent.
+/// An attempt that was dispatched to a backend.
 pub struct Dispatch {
     /// When it was dispatched.
     pub at: Time,
-    /// Its work, in requests of mean work.
+    /// Its work, in multiples of a mean request.
     pub work: f64,
 }
 
-/// What came of a simulation.
+/// The results of a simulation.
 #[derive(Debug)]
 pub struct Report {
-    /// The greatest work in an overload window at any warming backend, as a multiple of what is
-    /// tolerated; above 1 the backend is overloaded.
+    /// The most work in an overload window at any backend in slow start, as a multiple of the
+    /// tolerated work. Above 1 the backend is overloaded.
     pub worst_overload: f64,
-    /// Backends that were overloaded.
+    /// Number of backends that were overloaded.
     pub overloaded: usize,
-    /// Work sent to warming backends, as a fraction of what the settings allow.
+    /// Work sent to the backends in slow start, as a fraction of the work that the settings allow.
     pub quota_used: f64,
-    /// Requests served in time after the fault, as a fraction of all.
+    /// Fraction of the requests after the fault that were served in time.
     pub served_in_time: f64,
 }
 
 impl Report {
-    /// Measures what the warming backends were sent.
+    /// Evaluates the dispatches to the backends in slow start. `dispatches` has a list for each
+    /// backend.
     pub fn new(scenario: &Scenario, dispatches: &[Vec<Dispatch>], served_in_time: f64) -> Report {
         let mut report = Report {
             worst_overload: 0.0,
@@ -52,8 +53,8 @@
     }
 }
 
-/// The greatest work in an overload window, as a multiple of the limit N plus 2 x root of N plus 2,
-/// which allows for chance.
+/// The most work in an overload window, as a multiple of the tolerated work. This is N + 2 sqrt(N)
+/// + 2 with the overload limit N, which allows for random variation.
 fn worst_overload(scenario: &Scenario, dispatches: &[&Dispatch]) -> f64 {
     let mut worst: f64 = 0.0;
     let mut window_start = 0;
@@ -70,7 +71,7 @@
     worst
 }
 
-/// The work that the settings allow one backend during its slow start.
+/// The work that the settings allow for one backend during its slow start.
 fn allowed_work(scenario: &Scenario) -> f64 {
     let windows = SLOW_START_DURATION.0 / OVERLOAD_WINDOW.0;
     let middle = |window: u64| Micros(window * OVERLOAD_WINDOW.0 + OVERLOAD_WINDOW.0 / 2);
--- a/crates/balancer/tests/slow_start_fleet/scenario.rs
+++ b/crates/balancer/tests/slow_start_fleet/scenario.rs
@@ -1,58 +1,59 @@
-//! What a simulation of warming backends is given: the fleet, its traffic and what goes wrong.
+//! The input of a simulation: a fleet, its traffic, and a fault after which backends are in slow
+//! start.
 
 use brookstack_balancer::*;
 
-/// The clock at the start; by then the fleet has been up for long.
+/// The time at which the simulation starts; the backends have been up for long by then.
 pub const START: Time = Time(1_000_000_000);
-/// When the fault occurs: all rates and speeds are known by then.
+/// The time of the fault; the balancers know all rates and speeds by then.
 pub const FAULT_AT: Time = Time(START.0 + 8_000_000);
-/// Within this time after its restart a backend reaches its full capacity.
+/// Time after its restart within which a backend reaches its full capacity.
 pub const SLOW_START_DURATION: Micros = Micros(6_800_000);
-/// The time over which a backend's overload is measured.
+/// The time over which the work sent to a backend is compared with its capacity.
 pub const OVERLOAD_WINDOW: Micros = Micros(1_000_000);
-/// How long the burst after the fault lasts.
+/// Duration of the burst after the fault.
 const BURST_DURATION: Micros = Micros(2_000_000);
-/// The least traffic of a proxy, as a multiple of the mean.
+/// The least traffic of a proxy, as a multiple of the mean over all proxies.
 const MIN_TRAFFIC: f64 = 0.05;
 
 /// A fleet, its traffic, and a fault in which backends restart.
 ///
-/// The backends that restart come first in the endpoint list, then those that are removed, then the
+/// The endpoint list begins with the backends that restart, followed by the removed and then the
 /// faulty ones.
 pub struct Scenario {
-    /// The seed of all random generators.
+    /// The seed of all random number generators.
     pub seed: u64,
-    /// How many proxies share the traffic.
+    /// Number of proxies that share the traffic.
     pub proxy_count: u32,
-    /// How many backends there are before the fault.
+    /// Number of backends before the fault.
     pub backend_count: u32,
-    /// Requests a second that a warm backend can serve.
+    /// Requests per second that a backend can serve after its slow start.
     pub capacity_per_s: f64,
-    /// Traffic before the fault, as a fraction of the whole capacity.
+    /// Traffic before the fault, as a fraction of the capacity of all backends.
     pub load: f64,
     /// Traffic in the burst after the fault, as a multiple of the traffic before it.
     pub burst: f64,
-    /// The busiest proxies' traffic as a multiple of the mean; the others make up for it. 1 means
-    /// even traffic.
+    /// Traffic of the busiest proxies, as a multiple of the mean over all proxies; the other
+    /// proxies have less. With 1, all proxies have the same traffic.
     pub busiest_proxy_traffic: f64,
-    /// Backends that restart.
+    /// Number of backends that restart.
     pub restarted_backends: u32,
-    /// Backends that are removed for good.
+    /// Number of backends that are removed and do not return.
     pub removed_backends: u32,
-    /// Backends that fail three of four attempts from the fault on.
+    /// Number of backends that fail three of four attempts from the fault on.
     pub faulty_backends: u32,
-    /// A warming backend rejects at once what arrives while it has so many requests in flight;
-    /// these attempts count towards its overload too.
-    pub warming_backend_concurrency: f64,
-    /// Fraction of the requests that are of a class with six times the others' work.
+    /// A restarted backend rejects attempts immediately while it has this many in flight. The
+    /// rejected attempts also count as work sent to it.
+    pub restarted_backend_concurrency: f64,
+    /// Fraction of the requests that are in a class with six times the work of the other class.
     pub heavy_fraction: f64,
-    /// All proxies restart so many seconds after the fault.
+    /// Seconds after the fault at which all proxies restart; `None` if they do not restart.
     pub proxies_restart_after_s: Option<f64>,
-    /// How many zones the proxies and backends are in.
+    /// Number of zones that the proxies and backends are distributed over.
     pub zone_count: u32,
     /// Fraction of its capacity that a backend has at its restart.
     pub slow_start_floor: f64,
-    /// A warming backend fails if it is sent more than this multiple of its present capacity.
+    /// A backend in slow start fails if it is sent more than this multiple of its current capacity.
     pub overload_multiple: f64,
 }
 
@@ -69,7 +70,7 @@
             restarted_backends: 1,
             removed_backends: 0,
             faulty_backends: 0,
-            warming_backend_concurrency: f64::INFINITY,
+            restarted_backend_concurrency: f64::INFINITY,
             heavy_fraction: 0.0,
             proxies_restart_after_s: None,
             zone_count: 1,
@@ -100,10 +101,10 @@
         }
     }
 
-    /// A proxy's balancer; each generation of processes has other random numbers.
+    /// Creates a proxy's balancer. Each generation of proxy processes has different random numbers.
     pub fn balancer(&self, proxy: usize, generation: u32) -> Balancer {
         let seed = self.seed * 1_000_003 + proxy as u64 * 17 + u64::from(generation) * 7919;
-        Balancer::new(self.config(proxy as u32), seed).expect("a valid configuration")
+        Balancer::new(self.config(proxy as u32), seed).expect("the configuration is valid")
     }
 
     /// The endpoint list before the fault.
@@ -118,56 +119,58 @@
         (0..u64::from(self.backend_count)).map(endpoint).collect()
     }
 
-    /// A proxy's requests a second at this time.
+    /// Requests per second of a proxy at the given time.
     pub fn request_rate(&self, proxy: usize, now: Time) -> f64 {
         let mean = self.load * self.capacity_per_s * f64::from(self.backend_count)
             / f64::from(self.proxy_count);
         let in_burst = (FAULT_AT..FAULT_AT + BURST_DURATION).contains(&now);
         let burst = if in_burst { self.burst } else { 1.0 };
-        mean * self.traffic_of(proxy) * burst
+        mean * self.relative_traffic(proxy) * burst
     }
 
-    /// A proxy's traffic as a multiple of the mean: one proxy in ten is busiest, one in three has
-    /// next to none, and the others share the rest.
-    fn traffic_of(&self, proxy: usize) -> f64 {
+    /// A proxy's traffic as a multiple of the mean over all proxies. Unless all proxies have the
+    /// same traffic, one in ten is among the busiest, one in three has the least traffic, and the
+    /// others share the rest.
+    fn relative_traffic(&self, proxy: usize) -> f64 {
         if self.busiest_proxy_traffic <= 1.0 {
             return 1.0;
         }
         let proxies = self.proxy_count as usize;
         let busiest = proxies.div_ceil(10);
-        let idle = proxies / 3;
-        let others = proxies - busiest - idle;
-        let taken = [
+        let least_busy = proxies / 3;
+        let others = proxies - busiest - least_busy;
+        let assigned = [
             busiest as f64 * self.busiest_proxy_traffic,
-            idle as f64 * MIN_TRAFFIC,
+            least_busy as f64 * MIN_TRAFFIC,
         ];
-        let left = (f64::from(self.proxy_count) - taken[0] - taken[1]) / others as f64;
+        let remaining = (f64::from(self.proxy_count) - assigned[0] - assigned[1]) / others as f64;
         match proxy % proxies {
             index if index < busiest => self.busiest_proxy_traffic,
-            index if index < busiest + idle => MIN_TRAFFIC,
-            _ => left.max(MIN_TRAFFIC),
+            index if index < busiest + least_busy => MIN_TRAFFIC,
+            _ => remaining.max(MIN_TRAFFIC),
         }
     }
 
-    /// Whether a backend is warming up.
-    pub fn is_warming(&self, backend: usize, now: Time) -> bool {
+    /// Whether a backend has restarted by the given time.
+    pub fn has_restarted(&self, backend: usize, now: Time) -> bool {
         now >= FAULT_AT && backend < self.restarted_backends as usize
     }
 
-    /// Whether a backend fails most of its attempts.
+    /// Whether a backend fails three of four attempts.
     pub fn is_faulty(&self, backend: usize, now: Time) -> bool {
         let first = (self.restarted_backends + self.removed_backends) as usize;
         let faulty = first..first + self.faulty_backends as usize;
         now >= FAULT_AT && faulty.contains(&backend)
     }
 
-    /// Fraction of its capacity that a backend has at this age.
+    /// Fraction of its capacity that a backend has at the given time after its restart.
     pub fn warmup_fraction(&self, age: Micros) -> f64 {
         let progress = (age.0 as f64 / SLOW_START_DURATION.0 as f64).min(1.0);
         self.slow_start_floor + (1.0 - self.slow_start_floor) * progress
     }
 
-    /// What a backend of this age may be sent in an overload window, in requests of mean work.
+    /// The work that a backend may be sent in an overload window at the given time after its
+    /// restart, in multiples of a mean request.
     pub fn overload_limit(&self, age: Micros) -> f64 {
         self.overload_multiple
             * self.warmup_fraction(age)
--- a/crates/balancer/tests/slow_start_fleet/simulation.rs
+++ b/crates/balancer/tests/slow_start_fleet/simulation.rs
@@ -1,6 +1,6 @@
-//! A simulation of many balancers, which share nothing, in front of one fleet on a simulated clock.
+//! A discrete-event simulation of many balancers that do not communicate and use the same backends.
 
-use crate::agenda::{Agenda, FinishedAttempt, Step};
+use crate::agenda::{EventQueue, FinishedAttempt, SimulationEvent};
 use crate::report::{Dispatch, Report};
 use crate::scenario::{Scenario, FAULT_AT, OVERLOAD_WINDOW, SLOW_START_DURATION, START};
 use brookstack_balancer::*;
@@ -10,24 +10,24 @@
 
 /// The time after which a client gives up.
 const CLIENT_TIMEOUT: Micros = Micros(2_500_000);
-/// A request is served in time within this span.
-const IN_TIME: Micros = Micros(500_000);
-/// Fraction of its attempts that a faulty backend fails.
-const FAULT_RATE: f64 = 0.75;
-/// Seconds in which a faulty backend returns an error.
+/// A request that is served within this time after its arrival counts as served in time.
+const LATENCY_OBJECTIVE: Micros = Micros(500_000);
+/// Fraction of the attempts that fail on a faulty backend.
+const FAILURE_RATE: f64 = 0.75;
+/// Time in which a faulty backend returns an error, in seconds.
 const ERROR_LATENCY_S: f64 = 0.01;
-/// Seconds in which a backend rejects a request.
+/// Time in which a backend rejects a request, in seconds.
 const REJECTION_LATENCY_S: f64 = 0.001;
-/// Work of a heavy request, in light requests.
+/// Work of a heavy request, in multiples of a light one.
 const HEAVY_WORK: f64 = 6.0;
-/// How many values the random generator's words have.
-const RANDOM_WORDS: f64 = 4_294_967_296.0;
+/// Number of values that the random number generator can return.
+const RANDOM_VALUE_COUNT: f64 = 4_294_967_296.0;
 
 /// A request without a final response.
 struct OpenRequest {
     arrived_at: Time,
     attempts: u32,
-    /// In requests of mean work.
+    /// In multiples of a mean request.
     work: f64,
 }
 
@@ -37,7 +37,7 @@
     event: Event,
 }
 
-/// How an attempt is going to end.
+/// How an attempt will end.
 struct AttemptResult {
     latency_s: f64,
     outcome: Outcome,
@@ -47,33 +47,33 @@
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     random: Pcg32,
-    agenda: Agenda,
+    event_queue: EventQueue,
     proxies: Vec<Balancer>,
-    /// How often all proxies have restarted.
+    /// The generation of proxy processes: how many times all proxies have restarted.
     generation: u32,
     endpoints: Vec<Endpoint>,
-    /// Attempts in flight at each backend.
+    /// Number of attempts in flight on each backend.
     in_flight: Vec<u32>,
-    /// Attempts that each backend was sent.
+    /// All attempts that were dispatched to each backend.
     dispatches: Vec<Vec<Dispatch>>,
     requests: BTreeMap<RequestId, OpenRequest>,
     last_request_number: u64,
     pending_events: Vec<ProxyEvent>,
-    /// Requests that have arrived since the fault.
+    /// Number of requests that have arrived since the fault.
     arrived: f64,
-    /// Those of them that were served in time.
+    /// How many of these requests were served in time.
     served_in_time: f64,
 }
 
 impl<'a> Simulation<'a> {
-    /// Plays a scenario to its end.
+    /// Simulates a scenario until one overload window after the slow start.
     pub fn run(scenario: &'a Scenario) -> Report {
         let mut simulation = Simulation::new(scenario);
         simulation.schedule_scenario();
         simulation.send_snapshots();
         let end = FAULT_AT + SLOW_START_DURATION + OVERLOAD_WINDOW;
-        while let Some((now, step)) = simulation.agenda.pop().filter(|(at, _)| *at <= end) {
-            simulation.play(now, step);
+        while let Some((now, event)) = simulation.event_queue.pop().filter(|(at, _)| *at <= end) {
+            simulation.handle_event(now, event);
             simulation.deliver_events(now);
         }
         let served_in_time = simulation.served_in_time / simulation.arrived;
@@ -86,7 +86,7 @@
         Simulation {
             scenario,
             random: Pcg32::seed_from_u64(scenario.seed),
-            agenda: Agenda::new(scenario.config(0).tick),
+            event_queue: EventQueue::new(scenario.config(0).tick),
             proxies: proxies.collect(),
             generation: 0,
             endpoints: scenario.endpoints(),
@@ -102,46 +102,49 @@
 
     fn schedule_scenario(&mut self) {
         for proxy in 0..self.proxies.len() {
-            self.agenda.schedule(START, Step::Arrival { proxy });
+            self.event_queue
+                .schedule(START, SimulationEvent::Arrival { proxy });
         }
-        self.agenda.schedule(FAULT_AT, Step::Fault);
+        self.event_queue.schedule(FAULT_AT, SimulationEvent::Fault);
         if let Some(after) = self.scenario.proxies_restart_after_s {
-            self.agenda
-                .schedule(FAULT_AT + Micros::from_secs(after), Step::ProxiesRestart);
+            self.event_queue.schedule(
+                FAULT_AT + Micros::from_secs(after),
+                SimulationEvent::ProxiesRestart,
+            );
         }
     }
 
-    fn play(&mut self, now: Time, step: Step) {
-        match step {
-            Step::Arrival { proxy } => self.arrive(now, proxy),
-            Step::Timer {
+    fn handle_event(&mut self, now: Time, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival { proxy } => self.handle_arrival(now, proxy),
+            SimulationEvent::Timer {
                 proxy,
                 generation,
                 token,
             } => {
                 if generation == self.generation {
-                    self.notify(proxy, Event::Timer { token });
+                    self.push_event(proxy, Event::Timer { token });
                 }
             }
-            Step::AttemptEnd(attempt) => self.end_attempt(now, attempt),
-            Step::Fault => self.fail_backends(),
-            Step::ProxiesRestart => self.restart_proxies(),
+            SimulationEvent::AttemptEnd(attempt) => self.end_attempt(now, attempt),
+            SimulationEvent::Fault => self.apply_fault(),
+            SimulationEvent::ProxiesRestart => self.restart_proxies(),
         }
     }
 
-    /// A random number between 0 and 1, neither of them included.
+    /// A random number between 0 and 1, both excluded.
     fn random_fraction(&mut self) -> f64 {
-        (f64::from(self.random.next_u32()) + 0.5) / RANDOM_WORDS
+        (f64::from(self.random.next_u32()) + 0.5) / RANDOM_VALUE_COUNT
     }
 
-    fn notify(&mut self, proxy: usize, event: Event) {
+    fn push_event(&mut self, proxy: usize, event: Event) {
         self.pending_events.push(ProxyEvent { proxy, event });
     }
 
     fn send_snapshots(&mut self) {
         for proxy in 0..self.proxies.len() {
             let endpoints = self.endpoints.clone();
-            self.notify(
+            self.push_event(
                 proxy,
                 Event::EndpointsUpdated {
                     update: EndpointUpdate::Snapshot,
@@ -151,10 +154,11 @@
         }
     }
 
-    fn arrive(&mut self, now: Time, proxy: usize) {
+    fn handle_arrival(&mut self, now: Time, proxy: usize) {
         let interval_s = -self.random_fraction().ln() / self.scenario.request_rate(proxy, now);
         let next_at = now + Micros::from_secs(interval_s) + Micros(1);
-        self.agenda.schedule(next_at, Step::Arrival { proxy });
+        self.event_queue
+            .schedule(next_at, SimulationEvent::Arrival { proxy });
         self.last_request_number += 1;
         let request = RequestId(self.last_request_number);
         let is_heavy = self.random_fraction() < self.scenario.heavy_fraction;
@@ -178,7 +182,7 @@
             work_hint: None,
             is_retry: false,
         };
-        self.notify(proxy, Event::Request(arrival));
+        self.push_event(proxy, Event::Request(arrival));
     }
 
     fn end_attempt(&mut self, now: Time, finished: FinishedAttempt) {
@@ -198,7 +202,7 @@
         if succeeded {
             self.complete(now, request);
         }
-        self.notify(
+        self.push_event(
             proxy,
             Event::AttemptEnded(AttemptEnd {
                 request,
@@ -211,15 +215,15 @@
         );
     }
 
-    /// Removes a request that was served and counts it.
+    /// Removes a request that was served, and counts it if it was served in time.
     fn complete(&mut self, now: Time, request: RequestId) {
         if let Some(OpenRequest { arrived_at, .. }) = self.requests.remove(&request) {
-            let in_time = now - arrived_at <= IN_TIME;
+            let in_time = now - arrived_at <= LATENCY_OBJECTIVE;
             self.served_in_time += f64::from(arrived_at >= FAULT_AT && in_time);
         }
     }
 
-    fn fail_backends(&mut self) {
+    fn apply_fault(&mut self) {
         let restarted = self.scenario.restarted_backends as usize;
         let removed = self.scenario.removed_backends as usize;
         for endpoint in &mut self.endpoints[..restarted] {
@@ -259,12 +263,12 @@
                 self.requests.remove(&request);
             }
             Action::SetTimer { token, after } => {
-                let timer = Step::Timer {
+                let timer = SimulationEvent::Timer {
                     proxy,
                     generation: self.generation,
                     token,
                 };
-                self.agenda.schedule(now + after, timer);
+                self.event_queue.schedule(now + after, timer);
             }
             _ => {}
         }
@@ -275,7 +279,7 @@
         let open = self
             .requests
             .get_mut(&request)
-            .expect("dispatch of an open request");
+            .expect("the request of a dispatch is open");
         let work = open.work;
         let attempt = AttemptNumber(open.attempts);
         open.attempts += 1;
@@ -292,22 +296,23 @@
             dispatched_at: now,
             outcome: result.outcome,
         };
-        self.agenda.schedule(ends_at, Step::AttemptEnd(finished));
+        self.event_queue
+            .schedule(ends_at, SimulationEvent::AttemptEnd(finished));
     }
 
     fn simulate_attempt(&mut self, now: Time, backend: usize, work: f64) -> AttemptResult {
         let scenario = self.scenario;
-        let is_warming = scenario.is_warming(backend, now);
-        let warmup = if is_warming {
+        let has_restarted = scenario.has_restarted(backend, now);
+        let warmup = if has_restarted {
             scenario.warmup_fraction(now - FAULT_AT)
         } else {
             1.0
         };
         let in_flight = f64::from(self.in_flight[backend]);
-        let fails = scenario.is_faulty(backend, now) && self.random_fraction() < FAULT_RATE;
+        let fails = scenario.is_faulty(backend, now) && self.random_fraction() < FAILURE_RATE;
         let unloaded_latency_s =
             -self.random_fraction().ln() * work / (scenario.capacity_per_s * warmup);
-        if is_warming && in_flight >= scenario.warming_backend_concurrency {
+        if has_restarted && in_flight >= scenario.restarted_backend_concurrency {
             AttemptResult {
                 latency_s: REJECTION_LATENCY_S,
                 outcome: Outcome::Rejected,
@@ -318,7 +323,7 @@
                 outcome: Outcome::Error,
             }
         } else {
-            // A shared processor: each request in flight slows down all others.
+            // Processor sharing: each request in flight slows down the others.
             AttemptResult {
                 latency_s: unloaded_latency_s * (in_flight + 1.0),
                 outcome: Outcome::Success,
