--- a/crates/balancer/tests/slow_start_fleet/main.rs
+++ b/crates/balancer/tests/slow_start_fleet/main.rs
@@ -71,6 +71,7 @@
 
 #[test]
 fn twelve_backends_that_restart_together_are_not_overloaded() {
+    // For example, the backends of a rack.
     let scenario = || Scenario {
         restarted_backends: 12,
         ..Scenario::default()
