--- a/crates/balancer/src/backends/backend.rs
+++ b/crates/balancer/src/backends/backend.rs
@@ -21,7 +21,7 @@
     pub slow_start_quota: f64,
     /// Fraction of this proxy's traffic that goes to the backend.
     pub local_share: f64,
-    /// Fraction of the total traffic that all proxies together can send to the backend.
+    /// Fraction of the traffic of all proxies that the backend gets within their slow-start quotas.
     pub planned_share: f64,
 }
 
--- a/crates/balancer/src/backends/machine_type.rs
+++ b/crates/balancer/src/backends/machine_type.rs
@@ -74,8 +74,8 @@
     }
 
     /// Returns the requests per second that all proxies together send to each ready backend.
-    /// `fleet_rate` is the requests per second to the entire fleet, if known. The result is 0 if
-    /// the rate is unknown or no backend is ready.
+    /// `fleet_rate` is the requests per second that they send to all backends, if known. The result
+    /// is 0 if the rate is unknown or no backend is ready.
     pub fn flow_per_backend(&self, fleet_rate: Option<f64>) -> f64 {
         if self.readiness <= 0.0 {
             return 0.0;
--- a/crates/balancer/src/backends/readiness.rs
+++ b/crates/balancer/src/backends/readiness.rs
@@ -42,10 +42,10 @@
 /// Returns the fraction of its even share that a backend keeps under its reported load. It is 1
 /// unless the weights of the endpoint list are load reports ([`Config::live_weights`]).
 ///
-/// A backend keeps its full share up to half of [`TARGET_CONCURRENCY`], and little of it at a much
-/// higher load, so that overloaded, slowed or unresponsive backends recover. A backend with less
-/// load gets no more than its even share: all proxies see the same delayed weights, so all of them
-/// would shift their traffic to the least loaded backend at the same time.
+/// A backend keeps its full share up to a load of half of [`TARGET_CONCURRENCY`] per core, and
+/// little of it at a much higher load, so that overloaded, slowed or unresponsive backends recover.
+/// A backend with less load gets no more than its even share: all proxies see the same delayed
+/// weights, so all of them would shift their traffic to the least loaded backend at the same time.
 fn load_factor(config: &Config, endpoint: &Endpoint, idle_weight: f64) -> f64 {
     if !config.live_weights {
         return 1.0;
--- a/crates/balancer/src/backends/speed.rs
+++ b/crates/balancer/src/backends/speed.rs
@@ -10,15 +10,15 @@
 /// Multiple of the mean latency to which the latency of a single response is clipped.
 const LATENCY_CLIP_MULTIPLE: f64 = 3.0;
 /// Number of responses from which the speed is smoothed over [`SPEED_MEMORY_SECS`]. With fewer
-/// responses, each new estimate replaces the previous one.
+/// responses, or if the previous estimate is older than that time, the new estimate replaces it.
 const MIN_SAMPLES_TO_SMOOTH: f64 = 10.0;
-/// Maximum relative rise per second of the baseline latency and of the rise-limited speed. A higher
-/// mean that was adopted immediately could come from a start under overload.
+/// Maximum relative rise per second of the baseline latency and of the rise-limited speed. If the
+/// baseline adopted a higher mean immediately, that mean could come from a start under overload.
 const MAX_RISE_PER_SECOND: f64 = 0.03;
 
 /// Estimates of the latency and the speed of the backends of one machine type.
 ///
-/// This type owns the estimates. The caller passes in the traffic to each backend.
+/// It owns the estimates. The caller passes in the traffic to each backend.
 #[derive(Default)]
 pub(crate) struct SpeedEstimate {
     /// Mean time from dispatch to response in seconds, of served requests only. Each sample is
@@ -28,9 +28,9 @@
     baseline_latency: Option<f64>,
     /// Requests per second that one backend can serve; 0 while unknown.
     speed: f64,
-    /// Like `speed`, but it rises by at most [`MAX_RISE_PER_SECOND`]. A sudden rise of the request
-    /// rate and the removal of backends both raise the traffic to each backend, and with it
-    /// `speed`, although no backend has become faster.
+    /// Like `speed`, but once `speed` is smoothed, it rises by at most [`MAX_RISE_PER_SECOND`]. A
+    /// sudden rise of the request rate and the removal of backends both raise the traffic to each
+    /// backend, and with it `speed`, although no backend has become faster.
     rise_limited_speed: f64,
 }
 
--- a/crates/balancer/src/backends/table.rs
+++ b/crates/balancer/src/backends/table.rs
@@ -141,9 +141,10 @@
         ready_count
     }
 
-    /// Estimates the speed of every machine type. `elapsed` is the time since the last estimate and
-    /// `assumed_latency` the baseline latency before any response, both in seconds. `fleet_rate` is
-    /// the requests per second that all proxies together send to these backends, if known.
+    /// Estimates the baseline latency and the speed of every machine type. `elapsed` is the time
+    /// since the last estimate and `assumed_latency` the baseline latency before any response, both
+    /// in seconds. `fleet_rate` is the requests per second that all proxies together send to these
+    /// backends, if known.
     pub fn estimate_speeds(&mut self, elapsed: f64, assumed_latency: f64, fleet_rate: Option<f64>) {
         for machine_type in self.machine_types.values_mut() {
             let flow = machine_type.flow_per_backend(fleet_rate);
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -2,9 +2,9 @@
 //! (`config.rs`) and returns actions (`action.rs`); these files are in `interface/`.
 //!
 //! [`Balancer`] consists of components, each of which owns one part of the state, and calls them in
-//! the order that an event requires. This file has one method for each kind of event. `dispatch.rs`
-//! dispatches the attempts of a request and gives its final response. `periodic.rs` contains the
-//! work that is done at regular intervals and at wake-ups.
+//! the order that an event requires. This file handles each kind of event. `dispatch.rs` dispatches
+//! the attempts of a request and gives its final response. `periodic.rs` contains the work that is
+//! done at regular intervals and at wake-ups.
 
 mod dispatch;
 mod periodic;
@@ -221,7 +221,7 @@
             .wake_by(now + queue_check.min(arrival.time_left));
     }
 
-    /// Updates the estimates with the result of an attempt. Then closes its request if that has its
+    /// Updates the estimates with the result of an attempt. Then closes the request if it has its
     /// final response, or queues it for another attempt if none is in flight.
     fn on_attempt_ended(&mut self, now: Time, mut end: AttemptEnd) {
         let Some(attempt) = self.requests.take_in_flight(&end) else {
@@ -248,8 +248,8 @@
     }
 
     /// The outcome by which an attempt is evaluated. A cancelled attempt that took longer than its
-    /// class's latency objective counts as a timeout, because it was mostly cancelled by a client
-    /// that gave up after waiting that long.
+    /// class's latency objective counts as a timeout: in most cases, the client gave up after
+    /// waiting that long.
     fn effective_outcome(&self, attempt: &InFlightAttempt, end: &AttemptEnd) -> Outcome {
         let objective = self.config.classes[attempt.class.0].latency_objective;
         if end.outcome == Outcome::Cancelled && end.latency > objective {
@@ -259,9 +259,9 @@
         }
     }
 
-    /// Adjusts admission control to the latency of an attempt. Only successes and timeouts count:
-    /// the other outcomes are caused by cancellations and by faulty, draining or unreachable
-    /// backends, not by overload.
+    /// Adjusts admission control to the latency of an attempt, unless the attempt was counted as
+    /// late while it was in flight. Only successes and timeouts count: the other outcomes are
+    /// caused by cancellations and by faulty, draining or unreachable backends, not by overload.
     fn adjust_admission(&mut self, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let is_success = end.outcome == Outcome::Success;
         let shows_load = is_success || end.outcome == Outcome::TimedOut;
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -14,9 +14,10 @@
 enum DispatchDecision {
     /// Send an attempt to this backend.
     Send(BackendId),
-    /// Keep the request in the queue: no backend has capacity for it.
+    /// Keep the request in the queue: the concurrency limits of this proxy are reached, or no
+    /// backend is available for the request.
     NoCapacity,
-    /// Send no attempt: none is allowed any more.
+    /// Send no attempt: the time left, the retry budget or the retry policy does not allow one.
     NotAllowed,
 }
 
@@ -138,7 +139,7 @@
 
     /// Hedges or replaces the only attempt of a request, which is in flight and probably lost.
     /// Where hedging is allowed, queues the request for a second attempt. Otherwise cancels the
-    /// first attempt, so that a retry can follow.
+    /// first attempt, so that a retry can follow. Does nothing if the retry policy forbids it.
     pub(super) fn hedge_or_replace(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/balancer/src/balancer/periodic.rs
+++ b/crates/balancer/src/balancer/periodic.rs
@@ -1,5 +1,5 @@
-//! Periodic work: the regular computation of the traffic shares, and what a wake-up runs, which is
-//! the polls of discovery and the checks of attempts and requests.
+//! Periodic work: the computation of the traffic shares at regular intervals, and the polls of
+//! discovery and the checks of attempts and requests at wake-ups.
 
 use super::Balancer;
 use crate::admission::{prompt_latency, Promptness};
@@ -21,9 +21,9 @@
         let own_rate = self.admission.update_rate(now);
         // If only a few proxies share a backend, each of them sends it many requests a second, so
         // that the interval between two requests does not matter.
-        let visit_rate = own_rate.filter(|_| !peers.are_few());
+        let rate_for_interval = own_rate.filter(|_| !peers.are_few());
         self.outliers
-            .update_request_interval(ready_count, visit_rate);
+            .update_request_interval(ready_count, rate_for_interval);
         let fleet_rate = own_rate.map(|rate| rate * peers.per_backend);
         let assumed_latency = self.shares.interval().secs() * ASSUMED_LATENCY_FRACTION;
         self.backends
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Marks backends whose responses are long overdue as unresponsive, reports late attempts to
-    /// admission control, and schedules the next check.
+    /// Reports late attempts to admission control, marks the backends of slow attempts as suspect
+    /// and those of long overdue attempts as unresponsive, and schedules the next check.
     pub(super) fn check_attempts(&mut self, now: Time) {
         if self.outliers.clear_unresponsive(&mut self.backends) {
             // The backends that still do not respond are marked again below. The others have
@@ -103,7 +103,7 @@
     }
 
     /// Gives up requests that are overdue, hedges or replaces attempts that are probably lost, and
-    /// schedules the next check.
+    /// schedules the next check. Skips requests whose response is being streamed.
     pub(super) fn check_requests(&mut self, now: Time) {
         let mut overdue = Vec::new();
         let mut lost = Vec::new();
@@ -129,10 +129,10 @@
         }
     }
 
-    /// Whether the only attempt of a request is in flight on a backend that is ejected,
-    /// unresponsive or removed, while another attempt could meet the latency objective and the
-    /// retry budget allows one. The age of the attempt alone is no reason to hedge: hedging
-    /// requests that merely need much work would overload every backend.
+    /// Whether the only attempt of a request is in flight on a backend that is ejected or
+    /// unresponsive (or is not in the table any more), while another attempt could meet the latency
+    /// objective and the retry budget allows one. The age of the attempt alone is no reason to
+    /// hedge: hedging requests that merely need much work would overload every backend.
     fn is_probably_lost(&self, now: Time, request: &Request) -> bool {
         let [attempt] = &request.attempts[..] else {
             return false;
--- a/crates/balancer/src/discovery_watch.rs
+++ b/crates/balancer/src/discovery_watch.rs
@@ -143,6 +143,8 @@
             PollFailure::WatchBroken if must_spread_polls(config) => {
                 Micros::from_secs(poll_spread_secs(config) * random)
             }
+            // Rejected polls, failures without a pending poll, and every failure while the proxies
+            // are too few to spread their polls.
             _ => self.backoff.after_rejection(config, poll_within, random),
         };
         self.next_poll_at = Some(now + delay);
--- a/crates/balancer/src/discovery_watch/poll_backoff.rs
+++ b/crates/balancer/src/discovery_watch/poll_backoff.rs
@@ -5,11 +5,11 @@
 
 /// Shortest backoff after a rejected poll.
 const MIN_BACKOFF_SECS: f64 = 0.1;
-/// Longest backoff after a rejected poll, as a fraction of `poll_within`. The longer of this time
-/// and the one by [`MAX_BACKOFF_SECS_PER_PROXY`] is used.
+/// Longest backoff after a rejected poll, as a fraction of `poll_within`; see
+/// [`max_rejection_backoff_secs`].
 const MAX_BACKOFF_FRACTION: f64 = 0.125;
-/// Longest backoff after a rejected poll, in seconds per proxy of the fleet. The longer of this
-/// time and the one by [`MAX_BACKOFF_FRACTION`] is used.
+/// Longest backoff after a rejected poll, in seconds per proxy; see
+/// [`max_rejection_backoff_secs`].
 const MAX_BACKOFF_SECS_PER_PROXY: f64 = 0.0225;
 /// Factor by which the backoff grows with each failure.
 const BACKOFF_MULTIPLIER: f64 = 2.0;
@@ -46,9 +46,10 @@
     }
 
     /// The time until the next poll after a poll that was rejected or did not reach the service.
-    /// The first backoff is short, because a single poll may be reset by chance. In a large
-    /// fleet, the second backoff is already the longest one: if it grew slowly, a service that
-    /// returns would get more polls per second than it can process.
+    /// The first backoff is short, because a single poll may be reset by chance. If there are so
+    /// many proxies that they must spread their polls, the second backoff is already the longest
+    /// one: if it grew slowly, a service that returns would get more polls per second than it can
+    /// process.
     pub fn after_rejection(&mut self, config: &Config, poll_within: Micros, random: f64) -> Micros {
         let longest = max_rejection_backoff_secs(config, poll_within);
         let has_failed_before = self.latest_secs > 0.0;
@@ -63,6 +64,8 @@
     }
 }
 
+/// The longest backoff after a rejected poll: the longer of the times by [`MAX_BACKOFF_FRACTION`]
+/// and [`MAX_BACKOFF_SECS_PER_PROXY`], but at most [`POLL_DEADLINE_SECS`].
 fn max_rejection_backoff_secs(config: &Config, poll_within: Micros) -> f64 {
     let by_proxy_count = f64::from(config.proxy_count) * MAX_BACKOFF_SECS_PER_PROXY;
     let by_setting = poll_within.secs() * MAX_BACKOFF_FRACTION;
--- a/crates/balancer/src/discovery_watch/polling_load.rs
+++ b/crates/balancer/src/discovery_watch/polling_load.rs
@@ -1,5 +1,5 @@
-//! How many polls the discovery service can process, and over which time the proxies of a fleet
-//! spread their polls.
+//! How many polls the discovery service can process, and over which time the proxies spread their
+//! polls.
 //!
 //! All proxies poll one service, which processes one poll at a time. All times here are in seconds.
 
--- a/crates/balancer/src/estimation/latency.rs
+++ b/crates/balancer/src/estimation/latency.rs
@@ -1,5 +1,7 @@
 //! Estimates of the latency and the work of each traffic class. Only served requests count: the
 //! time until an error, a timeout or a rejection shows neither latency nor work.
+//!
+//! Work is measured in multiples of a mean request, one whose latency is the mean over all classes.
 
 use super::RunningMean;
 use crate::{ClassId, Config, Micros};
--- a/crates/balancer/src/idle_connections.rs
+++ b/crates/balancer/src/idle_connections.rs
@@ -51,8 +51,8 @@
         self.grown_at = now;
     }
 
-    /// Lets the limit grow with the time since the last change. Removes it when it exceeds the
-    /// number of backends, that is, one idle connection for each backend.
+    /// Lets the limit grow with the time since the last change. Removes it when it exceeds
+    /// `backend_count`, the number of ready backends, that is, one idle connection for each.
     pub fn grow(&mut self, now: Time, backend_count: usize) {
         let elapsed_secs = (now - self.grown_at).secs();
         self.grown_at = now;
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -24,7 +24,8 @@
     /// - the client disconnects.
     Request(Arrival),
     /// The host has begun to stream the response to the client. From then on the balancer neither
-    /// times the request out nor hedges it.
+    /// times the request out nor decides to hedge it; a second attempt that is already queued may
+    /// still be sent.
     StreamStarted {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,9 +1,9 @@
 //! Identifiers.
 //!
-//! The host assigns all identifiers except timer tokens and attempt numbers. A backend must have
-//! the same id in all proxies, because slow-start quotas, concurrency limits and subsets are
-//! computed from these ids. Class and tenant ids are indexes into the configuration. The balancer
-//! uses all other ids only for comparison.
+//! The host assigns all identifiers except timer tokens and attempt numbers. Backends, zones,
+//! cells and machine types must have the same ids in all proxies: slow-start quotas and concurrency
+//! limits are computed from the ids of backends, and subsets from the ids of all four. Class and
+//! tenant ids are indexes into the configuration. All other ids are only compared.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
--- a/crates/balancer/src/retry/policy.rs
+++ b/crates/balancer/src/retry/policy.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Returns the latest time at which the newest attempt may begin to be sent; `None` if there is
-    /// no limit.
+    /// Returns the time before which the host must begin to send the newest attempt; `None` if
+    /// there is no limit.
     ///
     /// Backends remember an idempotency key only for its window, which begins with the first
     /// attempt that may have been executed. Establishing a connection can take longer than what
@@ -97,7 +97,8 @@
         is_repeatable_anywhere || attempts.all(|attempt| attempt.not_executed)
     }
 
-    /// Whether an attempt in flight may be cancelled and replaced by another one.
+    /// Whether an attempt in flight may be cancelled so that another one replaces it. Once it has
+    /// ended, [`allows_attempt`](Self::allows_attempt) decides on the other one.
     pub fn allows_replacement(&self) -> bool {
         self.config.cancellation_allowed && self.idempotency != Idempotency::NonIdempotent
     }
--- a/crates/balancer/src/routing/concurrency_limits.rs
+++ b/crates/balancer/src/routing/concurrency_limits.rs
@@ -7,8 +7,9 @@
 use crate::requests::RequestTable;
 use crate::Time;
 
-/// Standard deviations by which the momentary limit exceeds this proxy's part of the target. The
-/// number in flight is taken to be Poisson distributed: its variance equals its mean.
+/// The momentary limit exceeds this proxy's part of the target ([`Peers::own_concurrency`]) by this
+/// many standard deviations plus one attempt. The number in flight is taken to be Poisson
+/// distributed: its variance equals its mean.
 const MOMENTARY_LIMIT_DEVIATIONS: f64 = 1.5;
 /// The sustained limit in multiples of this proxy's part of the target. At any time some proxies
 /// exceed their part by chance; if all proxies did so together, every backend would stay
@@ -17,7 +18,7 @@
 
 /// Limits how many attempts this proxy may have in flight.
 ///
-/// Owns the limits and the recent mean of the attempts in flight. The caller counts the attempts
+/// It owns the limits and the recent mean of the attempts in flight. The caller counts the attempts
 /// and passes their number.
 pub(crate) struct ConcurrencyLimits {
     /// Most attempts in flight at any time.
--- a/crates/balancer/src/routing/picker.rs
+++ b/crates/balancer/src/routing/picker.rs
@@ -14,8 +14,8 @@
 
 /// Chooses a backend for one request.
 ///
-/// Has no state of its own: it reads the backends, the freshness of the endpoint list and the work
-/// estimates.
+/// It has no state of its own: it reads the backends, the freshness of the endpoint list and the
+/// work estimates.
 pub(crate) struct Picker<'a> {
     now: Time,
     config: &'a Config,
@@ -24,8 +24,7 @@
     retry_policy: RetryPolicy<'a>,
     /// The expected work of the request in multiples of a mean request.
     work: f64,
-    /// Whether the endpoint list contains every change that a reachable discovery service has had
-    /// for longer than the notification deadline.
+    /// Whether the endpoint list is fresh; see [`DiscoveryWatch::is_fresh`].
     is_list_fresh: bool,
 }
 
--- a/crates/balancer/src/routing/slow_start_quotas.rs
+++ b/crates/balancer/src/routing/slow_start_quotas.rs
@@ -16,7 +16,8 @@
 /// to be waiting whenever the quota allows one.
 const MAX_PLANNED_QUOTA_USE: f64 = 0.65;
 /// Assumed speed of a backend whose machine type has served nothing yet, as a fraction of an even
-/// share of the fleet's traffic. It is below 1 because the measured rate may be that of a burst.
+/// share of the traffic of all proxies. It is below 1 because the measured rate may be that of a
+/// burst.
 const UNKNOWN_SPEED_FRACTION: f64 = 0.5;
 /// Fraction of a backend's capacity that is divided evenly among the proxies. The rest is divided
 /// in proportion to the zone factors.
@@ -34,7 +35,7 @@
 pub(crate) struct SlowStartQuota {
     /// Most work in any overload window, in multiples of a mean request; infinite after slow start.
     pub work: f64,
-    /// Fraction of the fleet's traffic that the backend gets within the quotas of all proxies.
+    /// Fraction of the traffic of all proxies that the backend gets within their quotas.
     pub planned_share: f64,
     /// Fraction of this proxy's traffic that the backend gets. If only some proxies have a quota,
     /// their local share exceeds the planned share to make up for the proxies without one.
@@ -47,9 +48,9 @@
     pub now: Time,
     /// The balancer's configuration.
     pub config: &'a Config,
-    /// The proxies that share each backend.
+    /// The number of proxies that share each backend.
     pub peers: Peers,
-    /// This proxy's index among them, from 0.
+    /// This proxy's index among the proxies that use the same backends, from 0.
     pub replica_index: u64,
     /// Number of backends that this proxy uses, including removed backends with attempts in
     /// flight.
--- a/crates/balancer/src/routing/traffic_shares.rs
+++ b/crates/balancer/src/routing/traffic_shares.rs
@@ -23,7 +23,7 @@
 
 /// Decides when the shares are computed and whether an admitted request can be placed.
 ///
-/// Owns the time of the last computation, the fraction of the traffic that the backends may be
+/// It owns the time of the last computation, the fraction of the traffic that the backends may be
 /// given, and the time of the proxy's first event, from which slow-start quotas grow. The shares
 /// themselves are stored with the backends.
 pub(crate) struct ShareSchedule {
@@ -104,9 +104,9 @@
 pub(crate) struct SharePlan<'a> {
     /// The time of the computation.
     pub now: Time,
-    /// The proxies that share each backend.
+    /// The number of proxies that share each backend.
     pub peers: Peers,
-    /// This proxy's place among them.
+    /// This proxy's place among the proxies that use the same backends.
     pub replica: Replica,
     /// The factors on the shares of the backends in each zone.
     pub zone_factors: ZoneFactors,
@@ -136,7 +136,8 @@
     }
 
     /// The number of attempts that this proxy may have in flight on a backend: its part of the
-    /// target, of which half is divided by the zone factors and half evenly.
+    /// target ([`Peers::own_concurrency`]), of which half is divided by the zone factors and half
+    /// evenly.
     ///
     /// The part is a fraction, which some proxies round up and others round down. The proxies take
     /// turns, so that the sum over all proxies stays at the target; if all rounded up, the backends
--- a/crates/balancer/src/routing/zone_affinity.rs
+++ b/crates/balancer/src/routing/zone_affinity.rs
@@ -70,7 +70,8 @@
     zones.len() <= config.zone_count as usize
 }
 
-/// The fraction of the traffic that the backends of each zone with a readiness above 0 can take.
+/// The capacity of each zone as a fraction of the capacity of all zones, for zones with a backend
+/// whose readiness is above 0.
 fn capacity_shares(backends: &BackendTable) -> BTreeMap<ZoneId, f64> {
     let mut shares: BTreeMap<ZoneId, f64> = BTreeMap::new();
     for (_, backend) in backends.iter() {
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,7 +1,8 @@
 //! Reads the JSON settings of a deployment into a [`Config`].
 //!
-//! Unknown keys are ignored. This module checks only that each value has the expected type and
-//! form; [`Config::validate`] checks that numbers are within their ranges.
+//! Unknown keys are ignored. This module checks the type and form of each value, that class names
+//! are unique, that this proxy's zone is listed, and that no latency objective exceeds the deadline
+//! of its class. [`Config::validate`] checks that numbers are within their ranges.
 
 mod error;
 mod key;
@@ -61,7 +62,8 @@
     Ok(Settings { config, names })
 }
 
-/// Whether the weights of the endpoint list are load reports. False if the setting is missing.
+/// Whether the weights of the endpoint list are load reports. False if the setting is missing or is
+/// anything but `live`.
 fn has_live_weights(root: &Key) -> bool {
     let source = root.get("weight_source");
     source.text() == Ok("live")
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -7,9 +7,12 @@
 //!
 //! Proxies with consecutive indexes form a round. The proxies of a round divide the list among
 //! themselves, and each round orders the list differently before the division. So every backend is
-//! used by one proxy of each round, except that the last round may be incomplete. The order is that
-//! of a hash of the backend ids and the round. When a backend joins or leaves, the bounds of the
-//! subsets move by at most one position, and only in the backend's zone and machine type.
+//! used by one proxy of each round, except that the last round may be incomplete. Where crossing
+//! zones has a cost, a round has as many proxies for each subset as there are zones, and every
+//! backend is used by that many. The order is that of a hash of the round and the backend ids, or
+//! the cell ids where cells are kept together. When a backend joins or leaves, the bounds of the
+//! subsets move by at most one position, and only in the backend's group: its zone and machine type,
+//! or its zone where cells are kept together.
 //!
 //! - `subset_count` decides how many subsets there are.
 //! - `groups` keeps the backends in the order in which they are divided.
@@ -42,7 +45,7 @@
 
 /// The complete endpoint list and this proxy's subset of it.
 ///
-/// Owns the list and the order in which the list is divided. Every call must pass the same
+/// It owns the list and the order in which the list is divided. Every call must pass the same
 /// configuration.
 pub(crate) struct Subset {
     subset_count: SubsetCount,
--- a/crates/balancer/src/subset/groups.rs
+++ b/crates/balancer/src/subset/groups.rs
@@ -83,8 +83,8 @@
 
 /// The groups of all backends.
 ///
-/// Owns the positions of the backends, sorted in each group. Every call must pass the division with
-/// which the groups were built.
+/// It owns the positions of the backends, sorted in each group. Every call must pass the division
+/// with which the groups were built.
 #[derive(Default)]
 pub(super) struct EndpointGroups {
     groups: BTreeMap<GroupKey, Vec<HashPosition>>,
--- a/crates/balancer/src/subset/subset_count.rs
+++ b/crates/balancer/src/subset/subset_count.rs
@@ -2,12 +2,13 @@
 
 use crate::{Micros, Time};
 
-/// Fewest backends in a subset. A proxy that sends about ten requests per second uses each backend
-/// of such a subset every half minute. The subset keeps enough backends if a rack or a tenth of the
-/// fleet fails, and in a large fleet it has backends of all zones and machine types.
+/// Smallest intended number of backends in a subset. A proxy that sends about ten requests per
+/// second uses each backend of such a subset every half minute. The subset keeps enough backends if
+/// a rack or a tenth of the fleet fails, and in a large fleet it has backends of all zones and
+/// machine types.
 pub(super) const MIN_SUBSET_SIZE: f64 = 240.0;
-/// Fewest proxies that use each backend. With fewer, a backend's load would depend too much on the
-/// traffic of single proxies.
+/// Fewest proxies that use each backend of a divided list. With fewer, a backend's load would
+/// depend too much on the traffic of single proxies.
 const MIN_PROXIES_PER_BACKEND: u32 = 8;
 /// The time for which the number of subsets is kept while the size of the subsets is tolerated,
 /// 300 s. Without it, a fleet whose size is near a limit would alternate between two numbers, and
@@ -23,7 +24,7 @@
 
 /// The number of subsets: a power of two, and 1 while the list is not divided.
 ///
-/// Owns the number and the time of its last change.
+/// It owns the number and the time of its last change.
 pub(super) struct SubsetCount {
     current: u32,
     changed_at: Time,
