--- a/crates/balancer/src/admission/control.rs
+++ b/crates/balancer/src/admission/control.rs
@@ -176,8 +176,8 @@
     }
 
     /// Records the final response of a request.
-    pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
-        self.mix.record_response(class, timeliness);
+    pub fn record_final_response(&mut self, class: ClassId, timeliness: Timeliness) {
+        self.mix.record_final_response(class, timeliness);
     }
 
     /// Returns the density of each class; see [`TrafficMix::densities`].
--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -134,7 +134,7 @@
     }
 
     /// Records the final response of a request.
-    pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
+    pub fn record_final_response(&mut self, class: ClassId, timeliness: Timeliness) {
         for (index, traffic) in self.classes.iter_mut().enumerate() {
             let is_on_time = timeliness == Timeliness::OnTime && index == class.0;
             update_fraction(&mut traffic.on_time_share, is_on_time);
--- a/crates/balancer/src/admission/priority/tests.rs
+++ b/crates/balancer/src/admission/priority/tests.rs
@@ -22,7 +22,7 @@
             (ClassId(1), Timeliness::OnTime),
         ] {
             mix.record_arrival(class);
-            mix.record_response(class, timeliness);
+            mix.record_final_response(class, timeliness);
         }
     }
     mix
--- a/crates/balancer/src/admission/token_bucket.rs
+++ b/crates/balancer/src/admission/token_bucket.rs
@@ -1,6 +1,6 @@
 //! The token bucket that measures a tenant's traffic against its quota.
 
-use crate::estimation::RATE_MEMORY;
+use crate::estimation::RATE_MEMORY_SECS;
 use crate::Time;
 
 /// Minimum capacity of a bucket, in tokens. With a capacity below one, no request would ever get a
@@ -9,8 +9,8 @@
 /// Tokens that each request takes.
 const TOKENS_PER_REQUEST: f64 = 1.0;
 
-/// A token bucket. It starts full. Its capacity is the tokens that are added in [`RATE_MEMORY`]
-/// seconds, but at least one.
+/// A token bucket. It starts full. Its capacity is the number of tokens that are added in
+/// [`RATE_MEMORY_SECS`], but at least one.
 ///
 /// It owns its tokens and the time of the last refill. The caller passes in the current time and
 /// the rate at which tokens are added.
@@ -39,7 +39,7 @@
             Some(refilled_at) => (now - refilled_at).secs(),
             None => f64::MAX,
         };
-        let capacity = (rate * RATE_MEMORY).max(MIN_CAPACITY);
+        let capacity = (rate * RATE_MEMORY_SECS).max(MIN_CAPACITY);
         self.tokens = (self.tokens + rate * elapsed_secs).min(capacity);
         self.refilled_at = Some(now);
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -12,7 +12,7 @@
 use crate::admission::{prompt_latency, AdmissionControl, Promptness, Timeliness};
 use crate::backends::{BackendTable, OutlierDetector};
 use crate::discovery_watch::DiscoveryWatch;
-use crate::estimation::{LatencyEstimates, RATE_MEMORY};
+use crate::estimation::{LatencyEstimates, RATE_MEMORY_SECS};
 use crate::idle_connections::IdleConnectionLimit;
 use crate::outbox::Outbox;
 use crate::peers::Peers;
@@ -240,7 +240,7 @@
             Timeliness::Missed
         };
         if end.settled || is_success {
-            self.close_answered_request(end.request, timeliness);
+            self.close_with_final_response(end.request, timeliness);
         } else if !request.is_in_flight() && !self.queue.contains(end.request) {
             // `send_queued` dispatches another attempt or gives the request up.
             self.queue.push(end.request);
@@ -336,7 +336,7 @@
     /// The time that a rejected client should wait before it retries. It is the time that rate
     /// estimates cover: an earlier retry would meet the same load.
     pub fn retry_after(&self) -> Micros {
-        Micros::from_secs(RATE_MEMORY)
+        Micros::from_secs(RATE_MEMORY_SECS)
     }
 }
 
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -169,13 +169,14 @@
             Action::Fail { request: id }
         };
         self.outbox.push(response);
-        self.close_answered_request(id, Timeliness::Missed);
+        self.close_with_final_response(id, Timeliness::Missed);
     }
 
     /// Records the final response of a request and closes the request.
-    pub(super) fn close_answered_request(&mut self, id: RequestId, timeliness: Timeliness) {
+    pub(super) fn close_with_final_response(&mut self, id: RequestId, timeliness: Timeliness) {
         if let Some(request) = self.requests.get(id) {
-            self.admission.record_response(request.class, timeliness);
+            self.admission
+                .record_final_response(request.class, timeliness);
         }
         self.close_request(id);
     }
--- a/crates/balancer/src/discovery_watch/poll_backoff/tests.rs
+++ b/crates/balancer/src/discovery_watch/poll_backoff/tests.rs
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn the_backoff_of_a_small_fleet_doubles_up_to_an_eighth_of_poll_within() {
+fn the_backoff_of_four_proxies_doubles_up_to_an_eighth_of_poll_within() {
     let expected = [100, 200, 400, 800, 1_250, 1_250];
     assert_eq!(after_rejections(4, 0.0, 6), expected);
 }
 
 #[test]
-fn the_second_backoff_of_a_large_fleet_is_the_longest() {
+fn the_second_backoff_of_more_than_four_proxies_is_the_longest() {
     assert_eq!(after_rejections(5, 0.0, 3), [100, 1_250, 1_250]);
     assert_eq!(after_rejections(100, 0.0, 3), [100, 2_250, 2_250]);
     assert_eq!(after_rejections(1_000, 0.0, 3), [100, 5_000, 5_000]);
--- a/crates/balancer/src/discovery_watch/tests.rs
+++ b/crates/balancer/src/discovery_watch/tests.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_broken_watch_is_reopened_within_five_seconds_by_a_large_fleet() {
+fn many_proxies_reopen_their_broken_watches_within_five_seconds() {
     let config = watching_config(1_000);
     let mut watch = polling_watch(&config);
     watch.on_endpoints_received(millis_after_start(10));
--- a/crates/balancer/src/estimation.rs
+++ b/crates/balancer/src/estimation.rs
@@ -5,7 +5,7 @@
 mod latency;
 
 pub(crate) use estimators::{
-    update_fraction, RateEstimator, RunningMean, TimeWeightedMean, EPSILON, RATE_MEMORY,
+    update_fraction, RateEstimator, RunningMean, TimeWeightedMean, EPSILON, RATE_MEMORY_SECS,
     SAMPLE_MEMORY,
 };
 pub(crate) use latency::{LatencyEstimates, ASSUMED_LATENCY_FRACTION};
--- a/crates/balancer/src/estimation/estimators.rs
+++ b/crates/balancer/src/estimation/estimators.rs
@@ -6,14 +6,14 @@
 /// Number of samples that a running mean or fraction covers. The error of such an estimate is about
 /// a tenth of the standard deviation of the samples.
 pub(crate) const SAMPLE_MEMORY: f64 = 100.0;
-/// Time that a rate estimate covers, 2 s. It is long enough for about a hundred arrivals, and short
-/// compared with a slow start or a failure.
-pub(crate) const RATE_MEMORY: f64 = 2.0;
-/// A rate is known once more than this time has been observed, 0.1 s.
-const MIN_OBSERVED_SECS: f64 = RATE_MEMORY / 20.0;
-/// Time that a time-weighted mean covers, 1 s. It is long enough for several tens of requests, and
-/// shorter than the time in which a backend becomes overloaded.
-const TIME_WEIGHTED_MEMORY: f64 = 1.0;
+/// Time that a rate estimate covers, in seconds. It is long enough for about a hundred arrivals,
+/// and short compared with a slow start or a failure.
+pub(crate) const RATE_MEMORY_SECS: f64 = 2.0;
+/// A rate is known once more than this time, 0.1 s, has been observed.
+const MIN_OBSERVED_SECS: f64 = RATE_MEMORY_SECS / 20.0;
+/// Time that a time-weighted mean covers, in seconds. It is long enough for several tens of
+/// requests, and shorter than the time in which a backend becomes overloaded.
+const TIME_WEIGHTED_MEMORY_SECS: f64 = 1.0;
 
 /// Lower bound of a divisor, which keeps quotients of estimates finite.
 pub(crate) const EPSILON: f64 = 1e-9;
@@ -55,10 +55,10 @@
     *fraction += (f64::from(hit) - *fraction) / SAMPLE_MEMORY;
 }
 
-/// Events per second over about the last [`RATE_MEMORY`] seconds.
+/// Events per second over about the last [`RATE_MEMORY_SECS`].
 ///
 /// Events and observed time are weighted in the same way, so the estimate is unbiased even while
-/// less than [`RATE_MEMORY`] has been observed.
+/// less than [`RATE_MEMORY_SECS`] has been observed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RateEstimator {
     /// Number of events; older events count less.
@@ -76,14 +76,14 @@
             Some(updated_at) => (now - updated_at).secs(),
             None => 0.0,
         };
-        let kept_fraction = (-elapsed_secs / RATE_MEMORY).exp();
-        let newly_observed_secs = (1.0 - kept_fraction) * RATE_MEMORY;
+        let kept_fraction = (-elapsed_secs / RATE_MEMORY_SECS).exp();
+        let newly_observed_secs = (1.0 - kept_fraction) * RATE_MEMORY_SECS;
         self.events = self.events * kept_fraction + events;
         self.observed_secs = self.observed_secs * kept_fraction + newly_observed_secs;
         self.updated_at = Some(now);
     }
 
-    /// Events per second; `None` until more than a twentieth of [`RATE_MEMORY`] has been observed.
+    /// Events per second; `None` until more than [`MIN_OBSERVED_SECS`] have been observed.
     pub fn per_s(&self) -> Option<f64> {
         if self.observed_secs <= MIN_OBSERVED_SECS {
             return None;
@@ -92,7 +92,7 @@
     }
 }
 
-/// The mean of a count over about the last second ([`TIME_WEIGHTED_MEMORY`]), weighted by time.
+/// The mean of a count over about the last [`TIME_WEIGHTED_MEMORY_SECS`], weighted by time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TimeWeightedMean {
     value: f64,
@@ -103,7 +103,7 @@
     /// Records that the count has been `count` from the last update until `now`.
     pub fn advance(&mut self, now: Time, count: f64) {
         let elapsed_secs = (now - self.updated_at).secs();
-        let kept_fraction = (-elapsed_secs / TIME_WEIGHTED_MEMORY).exp();
+        let kept_fraction = (-elapsed_secs / TIME_WEIGHTED_MEMORY_SECS).exp();
         self.value = self.value() * kept_fraction + count * (1.0 - kept_fraction);
         self.updated_at = now;
     }
