--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -50,7 +50,7 @@
         arrival: &Arrival,
         is_over_quota: bool,
     ) -> RequestWeight {
-        // A client that retries has already waited for its first request, so its response mostly
+        // A client that retries has already waited for its first request, so its response usually
         // counts with the late weight only. If retries were served before new requests, both would
         // be late for as long as a retry storm lasts.
         let retry_weight = if arrival.is_retry {
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -61,10 +61,11 @@
         /// The outcome of the attempt that led to the ejection.
         outcome: Outcome,
     },
-    /// A poll of discovery or the watch on the endpoint list failed; the balancer will poll again.
+    /// A poll of discovery or the watch on the endpoint list failed. The balancer polls again
+    /// unless discovery pushes the changes.
     WatchFailed,
-    /// A poll of discovery or the watch on the endpoint list timed out; the balancer will poll
-    /// again.
+    /// A poll of discovery or the watch on the endpoint list timed out. The balancer polls again
+    /// unless discovery pushes the changes.
     WatchTimedOut,
     /// A request is sent although no response of discovery confirms the endpoint list. The event is
     /// meant for tracing single requests. It may occur for every request and is exempt from the
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -3,7 +3,7 @@
 //! The host assigns all identifiers except timer tokens and attempt numbers. Backends, zones,
 //! cells and machine types must have the same ids in all proxies: slow-start quotas and concurrency
 //! limits are computed from the ids of backends, and subsets from the ids of all four. Class and
-//! tenant ids are indexes into the configuration. All other ids are only compared.
+//! tenant ids are indexes into the configuration. Request ids and timer tokens are only compared.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
--- a/crates/balancer/src/routing/slow_start_quotas.rs
+++ b/crates/balancer/src/routing/slow_start_quotas.rs
@@ -112,7 +112,7 @@
     /// This proxy's quota if the mean over all proxies is `mean_quota`, in multiples of a mean
     /// request.
     ///
-    /// The mean is mostly below one request. It is rounded up or down by the proxy's rank, so that
+    /// The mean is usually below one request. It is rounded up or down by the proxy's rank, so that
     /// some proxies have a quota of one request and the others have none. The sum over all proxies
     /// then stays within the limit whatever traffic arrives, even if the rate is unknown or
     /// requests are retried. Proxies that have a quota pick the backend correspondingly more
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -11,8 +11,8 @@
 //! zones has a cost, a round has as many proxies for each subset as there are zones, and every
 //! backend is used by that many. The order is that of a hash of the round and the backend ids, or
 //! the cell ids where cells are kept together. When a backend joins or leaves, the bounds of the
-//! subsets move by at most one position, and only in the backend's group: its zone and machine type,
-//! or its zone where cells are kept together.
+//! subsets move by at most one position, and only in the backend's zone and machine type, or in its
+//! zone where cells are kept together.
 //!
 //! - `subset_count` decides how many subsets there are.
 //! - `groups` keeps the backends in the order in which they are divided.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 //! proxy is an instance with its own [`brookstack_balancer::Balancer`], which makes all decisions.
 //!
 //! The simulator sends its messages in batches. `TICK` starts a batch and sets its clock, `END`
-//! ends it. The program then writes the reply to the whole batch, which ends with `YIELD`.
+//! ends it. The program then writes the reply to the batch, whose last line is `YIELD`.
 //!
 //! Modules:
 //!
