--- a/crates/balancer/src/admission/priority.rs
+++ b/crates/balancer/src/admission/priority.rs
@@ -50,7 +50,7 @@
         arrival: &Arrival,
         is_over_quota: bool,
     ) -> RequestWeight {
-        // A client that retries has already waited for its first request, so its response mostly
+        // A client that retries has already waited for its first request, so its response usually
         // counts with the late weight only. If retries were served before new requests, both would
         // be late for as long as a retry storm lasts.
         let retry_weight = if arrival.is_retry {
@@ -134,7 +134,7 @@
     }
 
     /// Records the final response of a request.
-    pub fn record_response(&mut self, class: ClassId, timeliness: Timeliness) {
+    pub fn record_final_response(&mut self, class: ClassId, timeliness: Timeliness) {
         for (index, traffic) in self.classes.iter_mut().enumerate() {
             let is_on_time = timeliness == Timeliness::OnTime && index == class.0;
             update_fraction(&mut traffic.on_time_share, is_on_time);
