--- a/crates/proxy/tests/backend_resets.rs
+++ b/crates/proxy/tests/backend_resets.rs
@@ -1,5 +1,5 @@
-//! Connections that a backend resets: whether the request may have been executed, and which
-//! responses belong to which request.
+//! Connections that a backend resets: the proxy must not retry a request that may have been
+//! executed, and must not send a response to the wrong request.
 
 mod support;
 
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use support::*;
 
-/// A response of one byte.
+/// A response with a body of one byte.
 const SHORT_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
-/// The backend may have executed a request that reached it on an idle connection before the
-/// connection broke.
+/// The backend may have received and executed the request on the reused idle connection before it
+/// reset the connection.
 #[test]
 fn a_non_idempotent_request_is_not_retried_when_its_reused_connection_is_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -31,7 +31,7 @@
     assert_eq!(counter.finish(), 0, "bytes on other connections");
 }
 
-/// Responds to the first request on a listener and resets the connection after the second.
+/// Accepts a connection, responds to its first request and resets it after the second one.
 fn reset_second_request(listener: &TcpListener) {
     let mut stream = listener.accept().unwrap().0;
     let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -41,13 +41,15 @@
     reset_on_drop(&stream);
 }
 
+/// Makes the system reset the connection, instead of closing it with a FIN, when it is dropped.
 fn reset_on_drop(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
-/// The response and the reset arrive at once: one response to the client, and one execution.
+/// The response and the reset arrive at the same time. The client must get one response, and the
+/// request must be executed once.
 #[test]
 fn a_reset_right_after_the_response_leads_to_one_response_and_one_execution() {
     let resetting = start_resetting_backend();
@@ -57,8 +59,8 @@
     let proxy = ProxyProcess::start(&proxy_config(discovery.address, &endpoints));
     for _ in 0..20 {
         let mut client = Client::connect_and_send(proxy.address, &request("pay", 1000));
-        // After a broken response the backend is not used for a while: what is rejected then was
-        // not sent.
+        // After a broken response the balancer does not use the backend for a while. Requests that
+        // the proxy rejects in that time were not sent.
         let status = client.read_status().unwrap_or(0);
         assert!(matches!(status, 200 | 502 | 503), "{status}");
         client.send(&request("pay", 0));
@@ -71,7 +73,8 @@
     assert_eq!(other.request_count(), 0);
 }
 
-/// Responds to one request on each connection and resets it at once.
+/// Starts a backend that responds to one request on each connection and then resets the connection
+/// immediately.
 fn start_resetting_backend() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/proxy/tests/client_cancellation.rs
+++ b/crates/proxy/tests/client_cancellation.rs
@@ -1,15 +1,16 @@
-//! What a client's close ends: a connect, an attempt, a queued request, the wait for a retry. Each
-//! is forced, by a connection that cannot be established yet, a backend that holds its response, or
-//! a request that is known to be pending.
+//! A client's close ends the processing of its request at each stage: the connect to a backend, the
+//! attempt, the wait in the queue and the wait for a retry. The tests bring a request to a stage by
+//! a connection that cannot be established yet, by a backend that does not respond, or by checking
+//! that the request is pending.
 
 mod support;
 
 use serde_json::json;
 use support::*;
 
-/// Longer than any test takes.
+/// The connect timeout, in microseconds. It is longer than any test takes.
 const ONE_MINUTE_US: u64 = 60_000_000;
-/// Longer than any test takes.
+/// The time that requests have left, in milliseconds. It is longer than any test takes.
 const TEN_MINUTES_MS: u64 = 600_000;
 
 const CLOSES_DURING_CONNECT: [DisconnectCase; 5] = [
@@ -67,7 +68,7 @@
     assert_eq!(backend.count_received_bytes(), 0, "{case:?}");
 }
 
-/// A client may send far more than the proxy reads ahead: its close is noticed all the same.
+/// The proxy must notice a client's close even behind far more bytes than the proxy reads ahead.
 #[test]
 fn an_attempt_is_cancelled_if_its_client_closes_after_sending_much_more() {
     let backend = FakeBackend::unresponsive();
@@ -139,7 +140,10 @@
     wait_until("the first attempt is sent", || {
         rejecting.request_count() == 1
     });
-    assert!(proxy.is_pending(&text), "it waits for another backend");
+    assert!(
+        proxy.is_pending(&text),
+        "the request waits for another backend"
+    );
     client.close(CloseMode::Fin);
     wait_until("the request is dropped", || !proxy.is_pending(&text));
     discovery.apply_snapshot(&[ready("b", other.address)]);
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -1,5 +1,5 @@
-//! Client connections: how long they may stay idle, and what happens when there are too many of
-//! them.
+//! Client connections: how long they may stay idle, and what the proxy does when there are too many
+//! of them.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Clients that send nothing, or a part of a request, hold a connection for a short time only.
+/// The proxy soon closes the connections of clients that send nothing or only a part of a request.
 #[test]
 fn connections_without_a_complete_request_are_closed_soon() {
     let backend = FakeBackend::responding_ok("x");
@@ -23,7 +23,7 @@
     assert_eq!(
         without_body.read_status(),
         Some(408),
-        "the rest of its body never arrives"
+        "the last byte of the body never arrives"
     );
     for client in &mut incomplete {
         assert!(client.wait_for_close());
@@ -34,14 +34,14 @@
     assert_eq!(
         idle.read_status(),
         Some(200),
-        "a connection that has been used stays open longer"
+        "a connection on which a request was answered stays open longer"
     );
     assert!(idle.wait_for_close());
     assert_eq!(backend.request_count(), 2);
 }
 
-/// Neither clients that keep their connection open nor hundreds that never send a request keep
-/// others out.
+/// Neither clients that keep their connections open nor hundreds of clients that never send a
+/// request prevent the proxy from serving a new client.
 #[test]
 fn a_new_client_is_served_when_all_connections_are_taken() {
     let backend = FakeBackend::responding_ok("x");
@@ -62,7 +62,7 @@
     assert!(elapsed < Duration::from_secs(8), "{elapsed:?}");
 }
 
-/// Out of descriptors the proxy goes on, and serves again once it has some.
+/// A proxy that runs out of descriptors keeps running and serves again when descriptors are free.
 #[test]
 fn the_proxy_survives_running_out_of_descriptors() {
     let backend = FakeBackend::responding_ok("x");
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,6 +1,7 @@
-//! After a client has closed its connection, not a byte of its request is sent to a backend. Each
-//! test pauses the proxy while first what would have the request sent and then the client's close
-//! arrive, so that the proxy finds both at once.
+//! After a client has closed its connection, not a single byte of its request is sent to a backend.
+//! Each test pauses the proxy while two things arrive: first the event that makes the proxy send
+//! the request, and then the client's close. When the proxy continues, it finds both at the same
+//! time.
 
 mod support;
 
@@ -39,7 +40,7 @@
     config
 }
 
-/// Clients of all classes in turn, each with a request.
+/// Connects clients that each send a request, with the classes in turn.
 fn connect_clients(proxy: &ProxyProcess, count: usize, pipelined: &str) -> Vec<Client> {
     (0..count)
         .map(|number| {
@@ -50,8 +51,8 @@
         .collect()
 }
 
-/// Backends that hold the response to a [`held_request`] until the gate opens, and serve all others
-/// at once.
+/// Starts backends that reply to a [`held_request`] with `reply` after the gate has opened, and
+/// respond to all other requests immediately.
 fn start_holding_backends(count: usize, reply: fn() -> Reply) -> (Vec<FakeBackend>, GateOpener) {
     let (opener, gate) = ResponseGate::closed();
     let start = |_| {
@@ -67,6 +68,7 @@
     ((0..count).map(start).collect(), opener)
 }
 
+/// A request to which the backends of [`start_holding_backends`] respond when the gate opens.
 fn held_request(class: &str) -> String {
     request(class, 8_000).replace("/a?", "/held?")
 }
@@ -75,7 +77,7 @@
     request.start_line_contains("/held")
 }
 
-/// Held requests that the backend has received.
+/// How many held requests the backend has received.
 fn held_request_count(backend: &FakeBackend) -> usize {
     let requests = backend.requests();
     requests.iter().filter(|request| is_held(request)).count()
@@ -85,8 +87,8 @@
     backends.iter().map(held_request_count).sum()
 }
 
-/// Waits until one request is served after all that came before; one that the balancer rejects is
-/// not sent to a backend.
+/// Waits until the proxy serves a new request, by which time it has handled all that arrived
+/// before. Requests that the balancer rejects meanwhile are not sent to a backend.
 fn wait_until_served_again(proxy: &ProxyProcess) {
     wait_until("a request is served", || {
         send_request(proxy, &request("pay", 8_000)).status() == 200
@@ -117,7 +119,8 @@
     }
 }
 
-/// Two hundred at once, as the backend that they wait for becomes ready.
+/// Two hundred clients close at the same time as the backend that their requests wait for becomes
+/// ready.
 #[test]
 fn a_queued_request_is_not_sent_if_its_client_closes_as_a_backend_becomes_ready() {
     for case in DISCONNECT_CASES {
@@ -148,13 +151,14 @@
     }
 }
 
-/// The first attempt is rejected; a retry would go out at once on an idle connection.
+/// The first attempt is rejected, and there is an idle connection to the other backend, on which
+/// the proxy could send a retry immediately.
 #[test]
 fn a_request_is_not_retried_if_its_client_closes_as_the_first_attempt_is_rejected() {
     for case in DISCONNECT_CASES {
         for class in CLASSES {
-            // Where cancellation is allowed, a late attempt is cancelled for a hedged one unless it
-            // is non-idempotent.
+            // If cancellation is allowed, the balancer cancels a late attempt in favour of a hedged
+            // one, except for non-idempotent requests.
             if !case.cancellation_allowed || class == "pay" {
                 assert_not_retried_after_close(case, class);
             }
@@ -202,8 +206,8 @@
     assert_eq!(total_held_requests(&backends), 1, "{class}, {case:?}");
 }
 
-/// Two requests on one connection: the second was sent completely behind the first, and the client
-/// closes as the first is answered.
+/// The client sends two complete requests on one connection and closes it while the backend answers
+/// the first one.
 #[test]
 fn a_pipelined_request_is_not_sent_if_its_client_closes_as_the_one_before_it_is_answered() {
     for case in DISCONNECT_CASES {
@@ -232,7 +236,7 @@
     }
 }
 
-/// The rest of a long body and the close arrive at once, on two hundred connections.
+/// The remainder of a long body and the close arrive at the same time, on two hundred connections.
 #[test]
 fn a_request_is_not_sent_if_its_client_closes_as_its_body_becomes_complete() {
     for case in DISCONNECT_CASES {
@@ -253,7 +257,7 @@
             Client::connect_and_send(proxy.address, &text)
         };
         let mut clients: Vec<Client> = (0..200).map(|_| connect()).collect();
-        // The readiness check is accepted after all of them.
+        // The proxy accepts the connection of the readiness check after those of all clients.
         proxy.wait_until_ready();
         proxy.pause();
         for client in &mut clients {
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -1,12 +1,12 @@
-//! The configuration file: its errors at start, and its reload at SIGHUP.
+//! The configuration file: errors at start-up, and the reload at SIGHUP.
 
 mod support;
 
 use serde_json::{json, Value};
 use support::*;
 
-/// Without a handler SIGHUP would end the process; with one that reloads nothing, the old discovery
-/// would be polled for ever.
+/// Guards against two failures. Without a handler, SIGHUP would end the process. With a handler
+/// that does not reload the file, the proxy would go on polling the old discovery address for ever.
 #[test]
 fn sighup_moves_the_watch_to_the_new_discovery() {
     let a = FakeBackend::responding_ok("a");
@@ -27,9 +27,10 @@
         log.contains("not taken up before a restart: limits.sockets"),
         "{log}"
     );
-    wait_until("the connection to the first discovery is closed", || {
-        first.connections_closed() == 1
-    });
+    wait_until(
+        "the connection to the first discovery service is closed",
+        || first.connections_closed() == 1,
+    );
     for invalid in ["", &config.to_string()[..200], r#"{"discovery":"nowhere"}"#] {
         assert_reload_is_rejected(&proxy, invalid);
         assert_served_by(&proxy, b"b");
@@ -69,6 +70,7 @@
     }
 }
 
+/// A configuration that the proxy rejects, and a part of the error that it reports.
 struct InvalidConfiguration {
     config: Value,
     expected_error: &'static str,
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: reuse, and when they are closed.
+//! Connections to backends: when they are reused and when they are closed.
 
 mod support;
 
@@ -32,8 +32,8 @@
     assert_eq!(backend.connections_closed(), 0);
 }
 
-/// A backend that has closed an idle connection has not seen the next request: it is sent on a new
-/// connection.
+/// A backend that has closed an idle connection cannot have received the next request, so the proxy
+/// sends it on a new connection.
 #[test]
 fn a_closed_idle_connection_costs_no_attempt() {
     let is_first = AtomicBool::new(true);
@@ -56,8 +56,9 @@
     assert_eq!(backend.connections_opened(), 2);
 }
 
-/// A backend that can hold no further connection rejects a new one and closes it. Other proxies
-/// lack the idle connections that this one holds: half of them are closed.
+/// A backend that has reached its limit on connections rejects the request on a new connection and
+/// closes the connection. Another proxy cannot open a connection that this one keeps idle, so this
+/// one closes half of its idle connections.
 #[test]
 fn half_of_the_idle_connections_are_closed_when_a_backend_runs_out_of_them() {
     let accepting: Vec<FakeBackend> = (0..4).map(|_| FakeBackend::responding_ok("x")).collect();
@@ -73,9 +74,10 @@
         .map(|(name, backend)| ready(name, backend.address))
         .collect();
     let mut config = proxy_config(discovery.address, &endpoints);
-    config["settings"]["limits"]["conn_idle_us"] = json!(600_000_000); // none is closed for its age
+    // So long that no connection is closed because of its idle time.
+    config["settings"]["limits"]["conn_idle_us"] = json!(600_000_000);
     let proxy = ProxyProcess::start(&config);
-    wait_until("there is an idle connection to each", || {
+    wait_until("there is an idle connection to each backend", || {
         assert_reads_succeed(&proxy, 1);
         accepting
             .iter()
@@ -86,7 +88,11 @@
     discovery.apply_delta(&[ready("e", saturated.address)]);
     wait_until("a connection is rejected", || {
         let response = send_request(&proxy, &request("pay", 7000));
-        assert_eq!(response.status(), 200, "retried elsewhere");
+        assert_eq!(
+            response.status(),
+            200,
+            "the request is retried on another backend"
+        );
         saturated.request_count() > 0
     });
     wait_until("half of the idle connections are closed", || closed() >= 2);
@@ -94,8 +100,8 @@
     assert_eq!(response.status(), 200);
 }
 
-/// A backend is known by its name: after a restart its old connections and its old address are not
-/// used.
+/// A backend is identified by its name. After it has restarted or moved to another address, the
+/// proxy does not use its old connections or its old address.
 #[test]
 fn a_restarted_backend_gets_new_connections() {
     const RESTARTED_AT_MS: u64 = 1_700_000_000_000;
--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -1,6 +1,6 @@
-//! Idle clients may take every connection that there is for clients while discovery is down. Once
-//! it is back, the watch resumes, backends can be connected to, the readiness check is answered and
-//! new clients are accepted.
+//! Recovery from an outage of discovery with few free descriptors. During the outage, idle clients
+//! may take all connections that the proxy has for clients. When discovery is back, the proxy must
+//! resume polling, connect to backends, answer the readiness check and accept new clients.
 
 mod support;
 
@@ -10,14 +10,16 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Limits on descriptors.
+/// Limits on open descriptors, and the number that is open when clients hold all connections that
+/// they can get.
 #[derive(Clone, Copy)]
 struct Limits {
     /// The limit in the proxy's configuration.
     configured: usize,
     /// The limit that the system enforces.
     enforced: usize,
-    /// With so many open, no client is accepted unless another is closed.
+    /// The number of open descriptors from which the proxy accepts a client only if it closes
+    /// another.
     saturated: usize,
 }
 
@@ -33,14 +35,17 @@
     saturated: 504,
 };
 
-/// The system allows fewer than the configuration says: none are kept in reserve then, and the
-/// proxy has to compete for each.
+/// The system's limit is lower than the configured one, from which the proxy computes how many
+/// clients it accepts. No descriptor is therefore reserved, and the proxy's other connections
+/// compete with those of clients for each descriptor.
 const FEWER_THAN_CONFIGURED: Limits = Limits {
     configured: 1024,
     enforced: 64,
     saturated: 62,
 };
 
+/// Asserts that the proxy recovers from an outage of discovery while idle clients take all
+/// connections that they can get.
 fn assert_recovery_with_idle_clients(limits: Limits, discovery_mode: &str) {
     let old_backend = FakeBackend::responding_ok("old");
     let new_backend = FakeBackend::responding_ok("new");
@@ -52,7 +57,7 @@
     let stopped = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let clients = scope.spawn(|| keep_clients_connected(&proxy, 2 * limits.enforced, &stopped));
-        wait_until("all connections for clients are taken", || {
+        wait_until("all connections for clients are in use", || {
             proxy.open_descriptors() >= limits.saturated
         });
         let discovery = FakeDiscovery::start_at(discovery_address);
@@ -60,9 +65,16 @@
         discovery.apply_snapshot(&[ready("b", new_backend.address)]);
         proxy.wait_until_ready();
         let response = send_request(&proxy, &request("read", 8000));
-        assert_eq!(response.body, b"new", "a new client, a new backend");
+        assert_eq!(
+            response.body, b"new",
+            "a new client is served by the new backend"
+        );
         let open = proxy.open_descriptors();
-        assert!(open <= limits.enforced, "{open} of {}", limits.enforced);
+        assert!(
+            open <= limits.enforced,
+            "{open} open descriptors of {}",
+            limits.enforced
+        );
         stopped.store(true, Ordering::SeqCst);
         clients.join().unwrap();
     });
@@ -84,7 +96,8 @@
     config
 }
 
-/// Keeps idle clients connected until it is stopped; those that the proxy closes connect again.
+/// Keeps `count` idle clients connected until `stopped` is set. Clients whose connections the proxy
+/// closes connect again.
 fn keep_clients_connected(proxy: &ProxyProcess, count: usize, stopped: &AtomicBool) {
     const CHECK_INTERVAL: Duration = Duration::from_millis(20);
     let mut clients: Vec<Option<Client>> = (0..count).map(|n| connect_idle(proxy, n)).collect();
@@ -98,7 +111,8 @@
     }
 }
 
-/// Some clients send nothing, some a part of a request, some are served once and stay connected.
+/// Connects a client that becomes idle. By its number, it sends nothing, a part of a request or a
+/// complete request, after whose response it stays connected.
 fn connect_idle(proxy: &ProxyProcess, number: usize) -> Option<Client> {
     let text = match number % 4 {
         0 => String::new(),
@@ -141,8 +155,8 @@
     assert_recovery_with_idle_clients(FEWER_THAN_CONFIGURED, "subscribe");
 }
 
-/// Connections that wait in the listener's backlog at a SIGTERM are accepted as others close: all
-/// at once, they would exceed the limit.
+/// Connections that wait in the listener's backlog at SIGTERM are accepted only as others close. If
+/// all were accepted at the same time, they would exceed the limit.
 #[test]
 fn sigterm_accepts_the_backlog_within_the_descriptor_limit() {
     const DESCRIPTOR_LIMIT: usize = 64;
@@ -156,7 +170,8 @@
     config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
     let mut proxy = ProxyProcess::start(&config);
     let connect = |text: &str| Client::connect_and_send(proxy.address, text);
-    // Each of these waits for a response, so that the proxy closes none of them for another.
+    // Each of these clients waits for a response, so that the proxy does not close its connection
+    // in favour of a new one.
     let mut waiting: Vec<Client> = (0..16).map(|_| connect(&request("read", 8000))).collect();
     wait_until("an attempt is sent", || backend.request_count() > 0);
     let idle: Vec<Client> = (0..100).map(|_| connect("")).collect();
@@ -168,7 +183,10 @@
         max_open = max_open.max(proxy.open_descriptors());
         start.elapsed().as_millis() > 800
     });
-    assert!(max_open <= DESCRIPTOR_LIMIT, "{max_open} of 64");
+    assert!(
+        max_open <= DESCRIPTOR_LIMIT,
+        "{max_open} open descriptors of {DESCRIPTOR_LIMIT}"
+    );
     opener.open();
     drop(idle);
     for client in waiting.iter_mut().chain([&mut last]) {
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoint list: which backends get requests afterwards, and what happens to
-//! invalid or missing ones.
+//! Updates of the endpoint list: which backends get requests after an update, and what the proxy
+//! does when an update is invalid or missing.
 
 mod support;
 
@@ -39,8 +39,8 @@
     }
 }
 
-/// A backend may begin to drain while the connection to it is being made: not a byte is sent to it
-/// then.
+/// A backend may start draining while the proxy waits for a connection to it to be established. The
+/// proxy must then not send a single byte on the connection.
 #[test]
 fn a_backend_that_drains_during_the_connect_gets_no_request() {
     let backend = SaturatedListener::start();
@@ -75,13 +75,13 @@
         assert_eq!(response.status(), 200, "after {body}");
     }
     discovery.apply_snapshot(&[draining("a", backend.address)]);
-    wait_until("the valid list after them is applied", || {
+    wait_until("the valid list after the malformed ones is applied", || {
         proxy.readiness_status() == 503
     });
 }
 
-/// A discovery service that takes polls and never responds: the proxy serves from what it knows,
-/// and polls again.
+/// If the discovery service accepts polls and never responds, the proxy keeps serving with the
+/// endpoint list that it has, and polls again.
 #[test]
 fn an_unresponsive_discovery_service_does_not_block_the_watch() {
     let backend = FakeBackend::responding_ok("x");
@@ -93,8 +93,8 @@
     assert_eq!(proxy.readiness_status(), 200);
 }
 
-/// Where lists must be polled for, the watch begins when the balancer asks for it, and again after
-/// each failure.
+/// In the mode `subscribe`, the proxy polls only when the balancer requests it. The balancer must
+/// request a poll at the start and again after each failed poll.
 #[test]
 fn the_watch_starts_again_after_a_failed_poll() {
     let backend = FakeBackend::responding_ok("x");
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! The way of a request to a backend and of its response to the client, up to its deadline.
+//! Forwarding of requests to backends and of responses to clients, up to the request's deadline.
 
 mod support;
 
@@ -30,7 +30,8 @@
     );
 }
 
-/// A good response is forwarded whatever comes with it, and bytes behind it belong to no request.
+/// A successful response is forwarded even if unknown headers or 1xx responses come with it. Bytes
+/// that follow it must not be forwarded as the response to another request.
 #[test]
 fn bytes_behind_a_response_are_not_taken_for_another_one() {
     let next = AtomicUsize::new(0);
@@ -60,8 +61,8 @@
     assert_eq!(backend.request_count(), 30);
 }
 
-/// The request is at fault, wherever it is sent: it is not retried, nor does it count against the
-/// backend.
+/// The request itself is invalid, so that every backend would reject it. The response is forwarded,
+/// the request is not retried, and the error does not count against the backend.
 #[test]
 fn a_client_error_of_a_backend_is_forwarded() {
     let backend = FakeBackend::start(|request| match request.header("x-bad") {
@@ -71,7 +72,7 @@
         None => ok_response("x"),
     });
     let (proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
-    assert_reads_succeed(&proxy, 10); // earns a retry budget
+    assert_reads_succeed(&proxy, 10); // adds to the retry budget
     for _ in 0..10 {
         let bad_request = request("read", 7000).replace("Host:", "X-Bad: 1\r\nHost:");
         let response = send_request(&proxy, &bad_request);
@@ -94,8 +95,9 @@
     });
 }
 
-/// The deadline ends attempts as timed out and the balancer decides on the response; the proxy's
-/// own limit on a missing decision is not reached, also where less time is left than a tick.
+/// At the deadline the attempt ends as timed out, and the balancer decides on the response. The
+/// proxy's own fallback, which fails a request that the balancer has not answered, must not be
+/// used, even for a request with less time left than a tick.
 #[test]
 fn the_balancer_decides_on_the_response_at_the_deadline() {
     let backend = FakeBackend::unresponsive();
@@ -113,8 +115,8 @@
     assert!(!log.contains("no answer at its deadline"), "{log}");
 }
 
-/// While no backend is ready, the balancer queues a request for as long as a response could still
-/// be in time.
+/// While no backend is ready, the balancer queues a request as long as it could still be answered
+/// in time, and then rejects it.
 #[test]
 fn a_rejection_has_a_retry_after_header() {
     let discovery = FakeDiscovery::start();
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! SIGTERM: requests that were sent before or while the proxy drains are answered, then it exits
-//! with success.
+//! Graceful shutdown at SIGTERM: the proxy answers requests that were sent before the signal or
+//! while it drains, and then exits with success.
 
 mod support;
 
@@ -39,7 +39,7 @@
     assert!(proxy.wait_for_exit().success());
 }
 
-/// The first request on an accepted connection may still be on its way when the listener closes.
+/// The first request on an accepted connection may still be in transit when the listener closes.
 #[test]
 fn sigterm_waits_for_the_first_request_on_an_accepted_connection() {
     let backend = FakeBackend::responding_ok("x");
@@ -52,14 +52,14 @@
     assert!(proxy.wait_for_exit().success());
 }
 
-/// Sends a request in two parts, the second on demand.
+/// A request of which a first part is sent, and the remainder when the test asks for it.
 struct SplitRequest {
     client: Client,
     rest: String,
 }
 
 impl SplitRequest {
-    /// Sends the first `length` bytes of a request.
+    /// Sends the first `length` bytes of a request on a new connection.
     fn send_first(proxy: &ProxyProcess, text: &str, length: usize) -> SplitRequest {
         let (first, rest) = text.split_at(length);
         SplitRequest {
@@ -68,20 +68,22 @@
         }
     }
 
+    /// Sends the remainder and returns the client.
     fn send_rest(mut self) -> Client {
         self.client.send(&self.rest);
         self.client
     }
 }
 
-/// Sends a `read` request with this path in place of the usual one.
+/// Sends a `read` request with the given path instead of the usual one.
 fn send_read_of(proxy: &ProxyProcess, path: &str) -> Client {
     let text = request("read", 7000).replace("/a?", path);
     Client::connect_and_send(proxy.address, &text)
 }
 
-/// Requests around a SIGTERM, each at another stage, are answered; afterwards no connection stays
-/// open.
+/// At SIGTERM there are connections at each stage: unused, with a part of a head, with a part of a
+/// body, with a request that the backend has not answered, with a response that the client has not
+/// read, and idle. The requests on all of them are answered, and then the connections are closed.
 #[test]
 fn sigterm_answers_requests_at_every_stage() {
     let (opener, gate) = ResponseGate::closed();
@@ -115,7 +117,8 @@
     assert!(proxy.wait_for_exit().success());
 }
 
-/// Holds the responses to `/held` until the gate opens; those to `/large` have 60 KiB.
+/// Starts a backend that does not respond to requests for `/held` until the gate opens. Its
+/// response to `/large` has 60 KiB.
 fn start_backend_with_held_and_large_responses(gate: ResponseGate) -> FakeBackend {
     FakeBackend::start(move |request| {
         if request.start_line_contains("/held") {
@@ -130,9 +133,9 @@
     })
 }
 
-/// The process may be killed 0.7 s after the longest deadline, or after 3 s where that is longer:
-/// what arrives after SIGTERM is answered before that, and no connection stays open on which more
-/// could arrive.
+/// The process may be killed 0.7 s after the longest deadline of a request that arrived by SIGTERM.
+/// A deadline of more than 3 s counts as 3 s. Requests that arrive after SIGTERM must be answered
+/// before that, and no connection may stay open on which more requests could arrive.
 #[test]
 fn requests_after_sigterm_are_answered_before_the_process_may_be_killed() {
     let backend = FakeBackend::unresponsive();
@@ -162,7 +165,7 @@
     assert!(proxy.wait_for_exit().success());
 }
 
-/// Terminated before it could serve, the proxy still answers what it was sent.
+/// A proxy that is terminated before it has a backend still answers the requests that it receives.
 #[test]
 fn sigterm_before_the_first_endpoint_list_exits_with_success() {
     let discovery = FakeDiscovery::start();
--- a/crates/proxy/tests/held_up_process.rs
+++ b/crates/proxy/tests/held_up_process.rs
@@ -1,19 +1,21 @@
-//! The process gets no processor time for a while, as on a loaded machine.
+//! Requests that arrive while the process gets no processor time, as happens on a loaded machine.
 
 mod support;
 
 use std::time::Duration;
 use support::*;
 
-/// For so long the process gets no processor time: many ticks.
+/// How long the process gets no processor time: many ticks.
 const HOLD_UP: Duration = Duration::from_millis(100);
-/// How often that happens in a test: it matters only if a check is due just then.
+/// How often the test pauses a process. A pause can cause the failure only if a check of the queued
+/// requests falls due during it.
 const HOLD_UPS: usize = 10;
 
-/// Requests that arrived during a hold-up were rejected at once, although a backend was idle: a
-/// check of the waiting requests was overdue, and it judged them before the balancer had considered
-/// a backend. It took a quarter of the latency objective for the latency of a class without a
-/// response, which is more than these clients wait.
+/// Guards against a fault in which requests that arrived while the process got no processor time
+/// were rejected immediately, although a backend was idle. The check of the queued requests was
+/// overdue and ran before the balancer had considered a backend. For a class without a response so
+/// far, the balancer assumes a latency of a quarter of the latency objective. Here that is more
+/// than the time that the clients wait, so the check rejected their requests.
 #[test]
 fn a_request_that_arrives_while_the_process_is_held_up_is_sent_to_an_idle_backend() {
     let mut statuses = Vec::new();
@@ -28,7 +30,7 @@
         let config = proxy_config_without_deadlines(&discovery, &endpoints);
         let proxy = ProxyProcess::start(&config);
         assert_reads_succeed(&proxy, 4);
-        // As long as this request is not answered, its attempt is checked in every tick.
+        // Until this request is answered, the balancer checks its attempt in every tick.
         let held = request("read", 8_000).replace("/a?", "/held?");
         let _held = Client::connect_and_send(proxy.address, &held);
         wait_until("the request is sent", || {
@@ -48,7 +50,7 @@
     assert_eq!(statuses, [Some(200); HOLD_UPS]);
 }
 
-/// A backend that holds the response to some requests until the gate opens.
+/// Starts a backend that does not respond to requests for `/held` until the gate opens.
 fn start_backend(gate: ResponseGate) -> FakeBackend {
     FakeBackend::start(move |request| {
         if request.start_line_contains("/held") {
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -1,6 +1,6 @@
-//! Races of attempts and retries with the endpoint list and with the window of an idempotency key.
-//! Each is forced, by a connection that cannot be established yet or a peer that holds its
-//! response.
+//! Races of attempts and retries with updates of the endpoint list and with the end of the window
+//! of an idempotency key. The tests force each race with a connection that cannot be established
+//! yet, a backend that delays its response, or an outage of discovery.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Longer than any test takes.
+/// The connect timeout, in microseconds. It is longer than any test takes.
 const ONE_MINUTE_US: u64 = 60_000_000;
-/// Longer than any test takes.
+/// The time that requests have left, in milliseconds. It is longer than any test takes.
 const TEN_MINUTES_MS: u64 = 600_000;
 
 #[test]
@@ -51,14 +51,14 @@
     assert_eq!(
         client.read_status(),
         Some(503),
-        "not executed, so the client may retry"
+        "the request was not executed, so the client may retry"
     );
     assert_eq!(other.request_count(), 0, "{status}");
 }
 
-/// Discovery is down when the proxy starts, and a backend begins to drain meanwhile: once discovery
-/// is back the proxy learns of it by itself, whether lists are pushed or polled for, before it
-/// sends a single request there.
+/// Discovery is down when the proxy starts, and a backend starts draining during the outage. When
+/// discovery is back, the proxy must learn of the drain on its own, whether lists are pushed or
+/// polled, before it sends a single request to the backend.
 #[test]
 fn a_drain_during_a_discovery_outage_takes_effect_when_discovery_returns() {
     for mode in ["automatic", "subscribe"] {
@@ -81,8 +81,8 @@
     assert_eq!(a.request_count(), 0);
 }
 
-/// Backends remember an idempotency key for a limited time. A retry whose connection is established
-/// after that is not sent.
+/// Backends remember an idempotency key for a limited time, the key's window. A retry must not be
+/// sent if its connection is established after the window has ended.
 #[test]
 fn a_keyed_retry_is_not_sent_if_its_connect_outlasts_the_key_window() {
     let (opener, gate) = ResponseGate::closed();
@@ -99,7 +99,7 @@
     let mut config = proxy_config_without_deadlines(&discovery, &endpoints);
     config["settings"]["limits"]["dial_timeout_us"] = json!(ONE_MINUTE_US);
     let proxy = ProxyProcess::start(&config);
-    assert_reads_succeed(&proxy, 10); // earns a retry budget
+    assert_reads_succeed(&proxy, 10); // adds to the retry budget
     let text = request("vote", TEN_MINUTES_MS);
     let mut client = Client::connect_and_send(proxy.address, &text);
     wait_until("the first attempt is sent", || first.request_count() == 11);
@@ -109,9 +109,9 @@
     wait_until("the retry connects", || second.has_pending_connect());
     assert!(
         start.elapsed() < Duration::from_millis(1200),
-        "the retry began inside the window"
+        "the retry must begin within the window"
     );
-    wait_until("the window has passed", || {
+    wait_until("the window has ended", || {
         start.elapsed() > Duration::from_millis(1250)
     });
     assert_eq!(second.count_received_bytes(), 0);
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! How soon a process that starts is ready: with discovery up, overloaded or down, and with a
+//! How soon a newly started proxy is ready, with discovery up, overloaded or down, and with a
 //! cached endpoint list, an empty one or none.
 
 mod support;
@@ -9,21 +9,22 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// How long a restarted process may take.
+/// The longest time that a started process may take to become ready.
 const MAX_STARTUP: Duration = Duration::from_secs(10);
-/// Whether discovery pushes lists or the proxy polls for them.
+/// The discovery modes: with `automatic` a local agent pushes lists, with `subscribe` the proxy
+/// polls a central service.
 const DISCOVERY_MODES: [&str; 2] = ["automatic", "subscribe"];
 
-/// The endpoint list that the configuration gives.
+/// The value of the key `known` in the configuration.
 #[derive(Debug)]
 enum KnownList {
-    /// The configuration has no such key.
+    /// The configuration does not have the key.
     Absent,
-    /// The key's value.
+    /// The configuration has the key with this value.
     Given(Value),
 }
 
-/// Lists without a ready backend.
+/// Values of the key `known` that give no backend.
 fn lists_without_backends() -> [KnownList; 3] {
     [
         KnownList::Given(snapshot(0, &[])),
@@ -46,6 +47,7 @@
     config
 }
 
+/// Waits until the proxy is ready and asserts that this takes less than [`MAX_STARTUP`].
 fn assert_ready_soon(proxy: &ProxyProcess, since: Instant, case: &str) {
     proxy.wait_until_ready();
     let elapsed = since.elapsed();
@@ -69,7 +71,8 @@
     }
 }
 
-/// A cached list is enough, whether discovery is down or takes polls and never responds.
+/// A cached list is enough both when discovery is down and when it accepts polls and never
+/// responds.
 #[test]
 fn the_proxy_is_ready_soon_with_a_cached_endpoint_list_alone() {
     let backend = FakeBackend::responding_ok("x");
@@ -84,7 +87,8 @@
     }
 }
 
-/// Without a list and discovery the proxy can serve nobody, and says so.
+/// Without an endpoint list and without discovery the proxy can serve no request, and its readiness
+/// check fails.
 #[test]
 fn without_an_endpoint_list_the_proxy_is_ready_soon_after_discovery_returns() {
     let backend = FakeBackend::responding_ok("x");
@@ -104,8 +108,8 @@
     }
 }
 
-/// A discovery service whose queue is too long rejects polls after a while, before it gets round to
-/// one.
+/// An overloaded discovery service has a queue that is too long: it rejects polls after some time
+/// in the queue, before it processes them.
 #[test]
 fn the_proxy_is_ready_soon_when_discovery_is_overloaded() {
     let backend = FakeBackend::responding_ok("x");
@@ -121,7 +125,8 @@
     }
 }
 
-/// Rejects two polls after a wait in its queue, responds to the third and holds all others.
+/// Starts a discovery service that rejects two polls after a wait in its queue, responds to the
+/// third and leaves all others unanswered.
 fn overloaded_discovery(list: Value) -> FakeBackend {
     const QUEUE_WAIT: Duration = Duration::from_millis(300);
     let polls = AtomicUsize::new(0);
@@ -135,8 +140,8 @@
     })
 }
 
-/// The complete list of a large fleet, with long names and indented, fits into 64 MB; one that
-/// would take a larger part of the memory is rejected.
+/// With a memory limit of 64 MB, the proxy accepts the complete list of a large fleet with long
+/// names and indentation. It rejects a list that would take a larger part of the memory.
 #[test]
 fn a_long_endpoint_list_fits_into_the_memory_limit_and_a_longer_one_is_rejected() {
     const MAX_LIST_BYTES: usize = 8 << 20;
@@ -164,7 +169,7 @@
     assert_reads_succeed(&proxy, 1);
 }
 
-/// A list of endpoints with long names, each level indented by so many blanks.
+/// A list of endpoints with long names in which each level is indented by `indentation` spaces.
 fn indented_list(count: usize, indentation: usize, address: SocketAddr) -> String {
     const STARTED_AT_MS: u64 = 1_700_000_000_000;
     let long_suffix = "long".repeat(42);
--- a/crates/proxy/tests/request_validation.rs
+++ b/crates/proxy/tests/request_validation.rs
@@ -1,11 +1,11 @@
-//! Which requests the proxy rejects by itself.
+//! Which requests the proxy rejects as invalid without forwarding them.
 
 mod support;
 
 use support::*;
 
-/// Each is answered, its connection is closed and nothing of it is forwarded: if the proxy read on,
-/// the rest of one would be taken for another request.
+/// The proxy answers each invalid request, forwards nothing of it and closes the connection. If it
+/// went on reading, it could parse the remainder of an invalid request as another request.
 #[test]
 fn invalid_requests_are_rejected_and_their_connection_is_closed() {
     let backend = FakeBackend::responding_ok("x");
@@ -18,7 +18,7 @@
         assert!(client.wait_for_close(), "{shown}");
     }
     assert_eq!(backend.request_count(), 0);
-    // The largest time left that can be written is valid.
+    // The largest time left, `u64::MAX` milliseconds, is valid.
     let response = send_request(&proxy, &request("read", u64::MAX));
     assert_eq!(response.status(), 200);
     assert_reads_succeed(&proxy, 1);
@@ -60,12 +60,12 @@
     request("pay", 7000)
 }
 
-/// A request of the class `read` with one more header.
+/// A request of the class `read` with an additional header.
 fn read_request_with(header: &str) -> String {
     read_request().replace("\r\nHost", &format!("\r\n{header}\r\nHost"))
 }
 
-/// A request of the class `pay` with these headers in place of its Content-Length of 4.
+/// A request of the class `pay` with the given headers instead of its Content-Length of 4.
 fn pay_request_with(headers: &str) -> String {
     pay_request().replace("Content-Length: 4", headers)
 }
@@ -145,8 +145,9 @@
     ]
 }
 
-/// With both a Content-Length and a Transfer-Encoding, a reader that goes by the other of the two
-/// finds another request in the body.
+/// A request with both a Content-Length and a Transfer-Encoding allows request smuggling: two
+/// readers that each use a different one of these headers disagree about where the body ends, and
+/// one of them parses a part of the body as another request.
 fn invalid_transfer_encodings() -> Vec<InvalidRequest> {
     let chunked_behind_length = "Content-Length: 4\r\nTransfer-Encoding: chunked";
     let chunked_before_length = "Transfer-Encoding: chunked\r\nContent-Length: 4";
@@ -170,7 +171,7 @@
     ]
 }
 
-/// Of two requests with one id the second is not forwarded, and the first is answered as usual.
+/// If two requests have the same id, the second is rejected and the first is answered as usual.
 #[test]
 fn the_id_of_a_pending_request_is_rejected() {
     let (opener, gate) = ResponseGate::closed();
@@ -192,6 +193,6 @@
     assert_eq!(
         first.read_status(),
         Some(200),
-        "the id is free again once its request is answered"
+        "the id may be used again after its request is answered"
     );
 }
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Which failed attempts are retried, and which are not because the request may have been executed.
+//! Which failed attempts are retried, and which are not because they may have been executed.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Requests that earn the balancer a retry budget.
+/// How many requests are served before the one under test, to add to the retry budget.
 const WARM_UP_REQUESTS: usize = 10;
 
-/// What became of one request.
+/// The result of one request.
 #[derive(Debug, PartialEq, Eq)]
 struct Outcome {
     status: u16,
@@ -28,8 +28,8 @@
     attempts: 1,
 };
 
-/// Sends one request after the warm-up: of two backends the first that gets it replies with
-/// `first_reply`, the other one serves it.
+/// Sends one request after the warm-up and returns its result. There are two backends: the first
+/// one that receives the request replies with `first_reply`, and the other one serves it.
 fn outcome_of(
     first_reply: impl Fn() -> Reply + Clone + Send + Sync + 'static,
     class: &str,
@@ -51,8 +51,9 @@
     let discovery = FakeDiscovery::start();
     let endpoints = [ready("a", a.address), ready("b", b.address)];
     let mut config = proxy_config(discovery.address, &endpoints);
-    // On a busy machine a response may take some milliseconds, many times its usual time: an
-    // attempt that is cancelled or hedged for that would be counted here.
+    // On a busy machine a response may take some milliseconds, which is many times its usual
+    // latency. The balancer could therefore cancel or hedge an attempt, and the count of attempts
+    // would include the additional one.
     config["settings"]["limits"]["cancel"] = json!(false);
     config["settings"]["limits"]["parallel_tries"] = json!(false);
     let proxy = ProxyProcess::start(&config);
@@ -70,8 +71,8 @@
     assert_eq!(outcome_of(timed_out, "pay"), SERVED_AFTER_RETRY);
 }
 
-/// A non-idempotent request that may have been executed fails and is sent once: no broken response
-/// is taken for a rejection.
+/// A non-idempotent request that may have been executed is sent once and then fails. The proxy must
+/// not treat a broken response as a rejection.
 #[test]
 fn a_non_idempotent_request_that_may_have_been_executed_is_not_retried() {
     let first_replies: [fn() -> Reply; 6] = [
@@ -92,8 +93,9 @@
     }
 }
 
-/// After a malformed response the connection stays open and is not used again; the attempt has
-/// failed at once, and the request may have been executed.
+/// The backend sends a malformed response and keeps the connection open. The attempt must fail
+/// immediately, not at the deadline, and the connection must not be used again. The request counts
+/// as possibly executed.
 #[test]
 fn a_malformed_response_fails_the_attempt_at_once() {
     let malformed: [fn() -> String; 11] = [
@@ -122,10 +124,10 @@
         assert_eq!(outcome_of(reply, "pay"), FAILED_WITHOUT_RETRY, "{shown}");
         assert!(
             start.elapsed() < Duration::from_secs(6),
-            "not at the deadline: {shown}"
+            "the attempt must fail before the deadline: {shown}"
         );
     }
-    // A long series of 1xx responses without a final one.
+    // A long series of 1xx responses without a final response.
     let endless = || Reply::Respond("HTTP/1.1 102 Processing\r\n\r\n".repeat(20_000));
     assert_eq!(outcome_of(endless, "read"), SERVED_AFTER_RETRY);
 }
@@ -136,8 +138,8 @@
     let discovery = FakeDiscovery::start();
     let endpoints = [ready("a", free_address()), ready("b", backend.address)];
     let proxy = ProxyProcess::start(&proxy_config(discovery.address, &endpoints));
-    // The first request that meets it may find no retry budget yet; after that the balancer does
-    // not use the backend.
+    // The first request that is sent to `a` may be rejected because the retry budget is still too
+    // small. After that the balancer does not use `a`.
     for _ in 0..10 {
         let response = send_request(&proxy, &request("pay", 7000));
         assert_ne!(response.status(), 502);
--- a/crates/proxy/tests/support/byte_counter.rs
+++ b/crates/proxy/tests/support/byte_counter.rs
@@ -1,11 +1,11 @@
-//! Counts what reaches a listener.
+//! Counts the bytes that are sent to a listener.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A connection that carries this and nothing else ends the counting.
+/// A connection on which exactly these bytes arrive ends the counting.
 const END_OF_COUNT: &[u8] = b"done";
 
 /// Counts the bytes that arrive on all connections to a listener.
@@ -15,17 +15,17 @@
 }
 
 impl ByteCounter {
-    /// Starts to accept connections one after another, each once the one before it is closed or
-    /// has been silent for `max_silence`.
+    /// Starts to accept connections one after another. The next connection is accepted when the
+    /// current one is closed or nothing has arrived on it for `max_silence`.
     pub fn start(listener: TcpListener, max_silence: Duration) -> ByteCounter {
         let address = listener.local_addr().unwrap();
         let count = std::thread::spawn(move || count_until_end(&listener, max_silence));
         ByteCounter { address, count }
     }
 
-    /// The bytes that have arrived on all connections made before this call.
+    /// Returns the number of bytes that have arrived on all connections made before this call.
     pub fn finish(self) -> usize {
-        // This one is accepted after all others.
+        // This connection is accepted after all others.
         TcpStream::connect(self.address)
             .unwrap()
             .write_all(END_OF_COUNT)
@@ -39,7 +39,8 @@
     for mut stream in listener.incoming().map_while(Result::ok) {
         let mut received = Vec::new();
         stream.set_read_timeout(Some(max_silence)).unwrap();
-        let _ = stream.read_to_end(&mut received); // a timeout keeps what came before it
+        // After a timeout, `received` contains the bytes that arrived before it.
+        let _ = stream.read_to_end(&mut received);
         if received == END_OF_COUNT {
             break;
         }
--- a/crates/proxy/tests/support/client.rs
+++ b/crates/proxy/tests/support/client.rs
@@ -13,24 +13,25 @@
 /// How a client ends its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseMode {
-    /// In order, with a FIN.
+    /// With a FIN, the regular close.
     Fin,
-    /// At once, with a reset.
+    /// With a reset.
     Reset,
 }
 
-/// A way in which clients disconnect.
+/// How clients disconnect in a test case.
 #[derive(Clone, Copy, Debug)]
 pub struct DisconnectCase {
     /// Whether the balancer may cancel attempts.
     pub cancellation_allowed: bool,
     /// How the clients end their connections.
     pub close_mode: CloseMode,
-    /// What the clients send behind their request; nobody reads it before the request is answered.
+    /// What the clients send after their request. The proxy does not process it before it has
+    /// answered the request.
     pub pipelined: &'static str,
 }
 
-/// A client's connection.
+/// A client's connection to the proxy.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
@@ -48,30 +49,31 @@
         })
     }
 
-    /// Connects and sends this text.
+    /// Connects and sends the given text.
     pub fn connect_and_send(address: SocketAddr, text: &str) -> Client {
         let mut client = Client::connect(address);
         client.send(text);
         client
     }
 
-    /// Sends this text; the proxy may have closed the connection.
+    /// Sends the given text. Ignores errors, because the proxy may have closed the connection.
     pub fn send(&mut self, text: &str) {
         let _ = self.stream.get_mut().write_all(text.as_bytes());
     }
 
-    /// Reads a response; `None` if the connection ends before the response does.
+    /// Reads a response; `None` if the connection ends before the response is complete.
     pub fn read_response(&mut self) -> Option<HttpMessage> {
         read_http_message(&mut self.stream)
     }
 
     /// Reads a response and returns its status; `None` if the connection ends before the response
-    /// does.
+    /// is complete.
     pub fn read_status(&mut self) -> Option<u16> {
         self.read_response().map(|response| response.status())
     }
 
-    /// Whether the proxy has closed the connection; does not wait. Discards what came before that.
+    /// Whether the proxy has closed the connection. Does not wait, and discards all bytes that have
+    /// arrived.
     pub fn is_closed(&mut self) -> bool {
         self.tcp_stream().set_nonblocking(true).unwrap();
         let mut buffer = [0; 4096];
@@ -86,12 +88,13 @@
         is_closed
     }
 
-    /// Waits for what comes next; whether it is that the proxy closes the connection.
+    /// Waits until the proxy closes the connection or sends a byte, and returns whether it has
+    /// closed the connection. An error counts as a close, including the timeout of the read.
     pub fn wait_for_close(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 
-    /// Closes the connection and waits until the system has ended it.
+    /// Closes the connection and waits until it is no longer established.
     pub fn close(self, mode: CloseMode) {
         close_all(vec![self], mode);
     }
@@ -100,6 +103,7 @@
         self.stream.get_mut()
     }
 
+    /// The line of the TCP table that stands for this connection while it is established.
     fn established_connection(&mut self) -> TcpConnection {
         TcpConnection {
             local_address: table_address(self.tcp_stream().local_addr().unwrap()),
@@ -109,8 +113,9 @@
     }
 }
 
-/// Closes connections and waits until the system has ended them: a process that another test starts
-/// holds copies of them for a moment, and a connection ends with its last copy.
+/// Closes connections and waits until they are no longer established. The wait is needed because a
+/// process that another test starts holds copies of the sockets for a moment, and the system ends a
+/// connection only when its last copy is closed.
 pub fn close_all(mut clients: Vec<Client>, mode: CloseMode) {
     let mut closing = HashSet::new();
     for client in &mut clients {
@@ -129,7 +134,7 @@
     });
 }
 
-/// A request of one of the classes in the tests' settings, with an id of its own.
+/// A request of a class that the tests' settings define, with a unique id.
 pub fn request(class: &str, time_left_ms: u64) -> String {
     static NEXT_ID: AtomicU64 = AtomicU64::new(1);
     let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
@@ -145,14 +150,14 @@
     )
 }
 
-/// Sends a request on a connection of its own and returns the response.
+/// Sends a request on a new connection and returns the response.
 pub fn send_request(proxy: &ProxyProcess, request: &str) -> HttpMessage {
     Client::connect_and_send(proxy.address, request)
         .read_response()
         .expect("a complete response")
 }
 
-/// Sends requests of the class `read`, one after another; each must succeed.
+/// Sends requests of the class `read` one after another and asserts that each succeeds.
 pub fn assert_reads_succeed(proxy: &ProxyProcess, count: usize) {
     for _ in 0..count {
         let response = send_request(proxy, &request("read", 7000));
--- a/crates/proxy/tests/support/fake_backend.rs
+++ b/crates/proxy/tests/support/fake_backend.rs
@@ -1,4 +1,4 @@
-//! A backend whose responses the test decides.
+//! A backend whose responses the test determines.
 
 use super::http_message::{read_http_message, HttpMessage};
 use std::io::{BufReader, Write};
@@ -7,15 +7,15 @@
 
 /// What a fake backend does with a request.
 pub enum Reply {
-    /// Writes this text and keeps the connection open.
+    /// Writes the given text and keeps the connection open.
     Respond(String),
-    /// Writes this text and closes the connection.
+    /// Writes the given text and closes the connection.
     RespondAndClose(String),
     /// Writes nothing and keeps the connection open.
     NoResponse,
 }
 
-/// A 200 with this body; the connection stays open.
+/// A response with status 200 and the given body; the connection stays open.
 pub fn ok_response(body: &str) -> Reply {
     let length = body.len();
     Reply::Respond(format!(
@@ -23,27 +23,30 @@
     ))
 }
 
-/// A 503 which says that the request was not executed, so that it may be retried elsewhere.
+/// A response with status 503 and the header that says that the request was not executed, so that
+/// it may be retried on another backend.
 pub fn rejected_response() -> Reply {
     Reply::Respond("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into())
 }
 
+/// What the connections of a backend have received, sent and closed so far.
 #[derive(Default)]
 struct Observed {
+    /// The requests that were received completely, in order.
     requests: Mutex<Vec<HttpMessage>>,
     responses_written: Mutex<usize>,
     connections_opened: Mutex<usize>,
     connections_closed: Mutex<usize>,
 }
 
-/// A backend on a port of its own, which records what reaches it.
+/// A backend on a free port of the loopback interface that records the requests it receives.
 pub struct FakeBackend {
     pub address: SocketAddr,
     observed: Arc<Observed>,
 }
 
 impl FakeBackend {
-    /// Starts a backend that replies to each request as `handler` says.
+    /// Starts a backend that does with each request what `handler` returns for it.
     pub fn start(handler: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) -> FakeBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -63,17 +66,17 @@
         backend
     }
 
-    /// Starts a backend that responds 200 to everything.
+    /// Starts a backend that responds to every request with status 200 and the given body.
     pub fn responding_ok(body: &'static str) -> FakeBackend {
         FakeBackend::start(move |_| ok_response(body))
     }
 
-    /// Starts a backend that takes requests and never responds.
+    /// Starts a backend that reads requests and never responds.
     pub fn unresponsive() -> FakeBackend {
         FakeBackend::start(|_| Reply::NoResponse)
     }
 
-    /// Requests that were received completely, in order.
+    /// Returns the requests that were received completely, in order.
     pub fn requests(&self) -> Vec<HttpMessage> {
         self.observed.requests.lock().unwrap().clone()
     }
--- a/crates/proxy/tests/support/fake_discovery.rs
+++ b/crates/proxy/tests/support/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that holds each poll until the test publishes something.
+//! A discovery service that leaves each poll unanswered until the test publishes a response body.
 
 use super::http_message::read_http_message;
 use super::wait::wait_until;
@@ -8,17 +8,20 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// How often a held poll looks whether the proxy has closed its connection.
+/// How often the service checks, during a poll, whether the proxy has closed the connection.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
+/// What the test has published.
 #[derive(Default)]
 struct Published {
+    /// The index of the latest list.
     index: u64,
-    /// The body of the next response.
+    /// The body of the next response; `None` if the latest one has been sent.
     body: Option<String>,
 }
 
-/// Responds to a poll as soon as something is published, which may be never.
+/// A discovery service that responds to a poll as soon as the test publishes a body. A poll for
+/// which nothing is published gets no response.
 #[derive(Clone)]
 pub struct FakeDiscovery {
     pub address: SocketAddr,
@@ -29,12 +32,12 @@
 }
 
 impl FakeDiscovery {
-    /// Starts the service on a port of its own.
+    /// Starts the service on a free port of the loopback interface.
     pub fn start() -> FakeDiscovery {
         FakeDiscovery::start_at("127.0.0.1:0".parse().unwrap())
     }
 
-    /// Starts the service at this address.
+    /// Starts the service at the given address.
     pub fn start_at(address: SocketAddr) -> FakeDiscovery {
         let listener = TcpListener::bind(address).unwrap();
         let discovery = FakeDiscovery {
@@ -63,12 +66,14 @@
             };
             let length = body.len();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-            let _ = stream.write_all((head + &body).as_bytes()); // the proxy may have gone
+            // Fails if the proxy has closed the connection.
+            let _ = stream.write_all((head + &body).as_bytes());
             *self.responses_written.lock().unwrap() += 1;
         }
     }
 
-    /// Waits for something to be published; `None` once the proxy has closed the connection.
+    /// Waits until a body is published and returns it. Returns `None` if the proxy closes the
+    /// connection first.
     fn await_publication(&self, stream: &TcpStream) -> Option<String> {
         let (published, changed) = &*self.published;
         let mut published = published.lock().unwrap();
@@ -87,51 +92,53 @@
         None
     }
 
-    /// Polls that were received.
+    /// How many polls were received.
     pub fn polls(&self) -> usize {
         *self.polls.lock().unwrap()
     }
 
-    /// Connections that the proxy closed during a poll.
+    /// How many connections the proxy closed during a poll.
     pub fn connections_closed(&self) -> usize {
         *self.connections_closed.lock().unwrap()
     }
 
-    /// Publishes the complete list, for the held poll or the next one.
+    /// Publishes the complete list as the response to the current poll, or to the next one if there
+    /// is none.
     pub fn publish_snapshot(&self, endpoints: &[Value]) {
         let body = self.next_body(true, endpoints);
         self.publish(&body);
     }
 
-    /// Publishes the complete list and waits until the response to a poll is written.
+    /// Publishes the complete list and waits until it is written as the response to a poll.
     pub fn write_snapshot(&self, endpoints: &[Value]) {
         let before = self.responses_written();
         self.publish_snapshot(endpoints);
-        wait_until("discovery's response is written", || {
+        wait_until("the response of discovery is written", || {
             self.responses_written() > before
         });
     }
 
-    /// Publishes the complete list and waits until the proxy polls again: it has applied the list
-    /// then.
+    /// Publishes the complete list and waits until the proxy polls again, by which time it has
+    /// applied the list.
     pub fn apply_snapshot(&self, endpoints: &[Value]) {
         let body = self.next_body(true, endpoints);
         self.apply_body(&body);
     }
 
-    /// Publishes changed endpoints and waits until the proxy polls again: it has applied them then.
+    /// Publishes changed endpoints and waits until the proxy polls again, by which time it has
+    /// applied them.
     pub fn apply_delta(&self, endpoints: &[Value]) {
         let body = self.next_body(false, endpoints);
         self.apply_body(&body);
     }
 
-    /// Publishes this text and waits until the proxy polls again: it has applied or rejected it
-    /// then.
+    /// Publishes the given body and waits until the proxy polls again, by which time it has applied
+    /// or rejected the body.
     pub fn apply_body(&self, body: &str) {
         let before = self.polls();
         self.publish(body);
-        // Without a held poll the first one takes the text and the second one shows that it was
-        // applied.
+        // If no poll was received before, the first poll gets the body, and the second poll shows
+        // that the proxy has processed it.
         let expected = if before == 0 { 2 } else { before + 1 };
         wait_until("the proxy polls discovery again", || {
             self.polls() >= expected
--- a/crates/proxy/tests/support/http_message.rs
+++ b/crates/proxy/tests/support/http_message.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as they stand on the wire.
+//! Reads HTTP/1.1 messages from a connection.
 
 use std::io::BufRead;
 
@@ -7,13 +7,13 @@
 pub struct HttpMessage {
     /// The request line or the status line.
     pub start_line: String,
-    /// Names in lower case, and values.
+    /// Pairs of a name in lower case and a value.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The value of the first header with this lower-case name.
+    /// The value of the first header with the given name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -21,7 +21,7 @@
             .map(|header| header.1.as_str())
     }
 
-    /// The status code of a response; 0 if there is none.
+    /// The status code of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
@@ -30,14 +30,14 @@
             .unwrap_or(0)
     }
 
-    /// Whether the start line contains this text.
+    /// Whether the start line contains the given text.
     pub fn start_line_contains(&self, text: &str) -> bool {
         self.start_line.contains(text)
     }
 }
 
-/// Reads one message with a Content-Length or none; `None` if the connection ends before the
-/// message does.
+/// Reads one message. Its body has the length that Content-Length gives, or none without that
+/// header. Returns `None` if the connection ends before the message is complete.
 pub fn read_http_message(reader: &mut impl BufRead) -> Option<HttpMessage> {
     let mut head = read_head(reader)?.into_iter();
     let start_line = head.next()?;
@@ -55,7 +55,7 @@
     Some(message)
 }
 
-/// Lines up to the empty one.
+/// Reads the start line and the headers, up to the empty line.
 fn read_head(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut lines = Vec::new();
     loop {
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the built proxy on loopback among fake backends, a fake discovery service and real client
-//! connections.
+//! Runs the built proxy on the loopback interface, with fake backends, a fake discovery service and
+//! real client connections.
 #![allow(
     dead_code,
     unused_imports,
-    reason = "every test file compiles this module for itself and uses only a part of it"
+    reason = "each test file compiles this module separately and uses only a part of it"
 )]
 
 mod byte_counter;
--- a/crates/proxy/tests/support/proxy_process.rs
+++ b/crates/proxy/tests/support/proxy_process.rs
@@ -1,4 +1,4 @@
-//! The built proxy as a process.
+//! Runs the built proxy as a child process.
 
 use super::client::{send_request, Client};
 use super::fake_backend::FakeBackend;
@@ -12,7 +12,7 @@
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// A running proxy; it is killed with its test.
+/// A running proxy. It is killed when the value is dropped.
 pub struct ProxyProcess {
     child: Child,
     pub address: SocketAddr,
@@ -20,20 +20,20 @@
 }
 
 impl ProxyProcess {
-    /// Starts a proxy and waits until it is ready.
+    /// Starts a proxy and waits until its readiness check succeeds.
     pub fn start(config: &Value) -> ProxyProcess {
         let proxy = ProxyProcess::spawn(config);
         proxy.wait_until_ready();
         proxy
     }
 
-    /// Starts a proxy without waiting for it.
+    /// Starts a proxy without waiting until it is ready.
     pub fn spawn(config: &Value) -> ProxyProcess {
         ProxyProcess::spawn_with_descriptor_limit(config, None)
     }
 
-    /// Starts a proxy under the system's limit on open descriptors, which its configuration does
-    /// not tell it.
+    /// Starts a proxy for which the system enforces a limit on open descriptors. The limit is
+    /// independent of the one in the proxy's configuration.
     pub fn spawn_with_descriptor_limit(config: &Value, limit: Option<usize>) -> ProxyProcess {
         let address = config["listen"]
             .as_str()
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The status of the readiness check; 0 if there is no response.
+    /// Returns the HTTP status of the readiness check, or 0 if there is no response.
     pub fn readiness_status(&self) -> u16 {
         let Ok(mut client) = Client::try_connect(self.address) else {
             return 0;
@@ -74,15 +74,16 @@
         wait_until("the proxy is ready", || self.readiness_status() == 200);
     }
 
-    /// Waits until the readiness check fails with a 503: the proxy serves, and has no ready
-    /// backend.
+    /// Waits until the readiness check fails with status 503, which means that the proxy accepts
+    /// connections and has no ready backend.
     pub fn wait_until_unavailable(&self) {
-        wait_until("the proxy says that it is not ready", || {
+        wait_until("the readiness check responds with 503", || {
             self.readiness_status() == 503
         });
     }
 
-    /// Whether a request with the id of this one is pending: another with that id is rejected then.
+    /// Whether a request with the id of the given one is pending, in which case the proxy rejects
+    /// another request with that id.
     pub fn is_pending(&self, request: &str) -> bool {
         let time_left = request
             .lines()
@@ -92,20 +93,20 @@
         send_request(self, &duplicate).status() == 409
     }
 
-    /// Descriptors that the process holds.
+    /// How many descriptors the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .unwrap()
             .count()
     }
 
-    /// What the proxy has logged so far.
+    /// Returns what the proxy has logged so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// Stops the process until [`ProxyProcess::resume`]: what arrives meanwhile it finds all at
-    /// once.
+    /// Stops the process until [`ProxyProcess::resume`]. When it continues, it finds everything
+    /// that has arrived in the meantime at the same moment.
     pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/stat", self.child.id());
@@ -114,22 +115,23 @@
         });
     }
 
+    /// Continues a process that [`ProxyProcess::pause`] has stopped.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Asks the proxy for a graceful shutdown.
+    /// Sends SIGTERM, at which the proxy shuts down gracefully.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and asks the proxy to reload it.
+    /// Replaces the configuration file and sends SIGHUP, at which the proxy reloads it.
     pub fn reload(&self, config: &str) {
         std::fs::write(ProxyProcess::config_path(self.address), config).unwrap();
         self.signal("-HUP");
     }
 
-    /// Waits until the process has exited.
+    /// Waits until the process has exited and returns its exit status.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until("the process has exited", || {
@@ -158,7 +160,8 @@
     }
 }
 
-/// Starts a proxy with these backends, by name, and its discovery; waits until it is ready.
+/// Starts a discovery service and a proxy with the given named backends, and waits until the proxy
+/// is ready.
 pub fn start_proxy_with(backends: &[(&str, &FakeBackend)]) -> (ProxyProcess, FakeDiscovery) {
     let discovery = FakeDiscovery::start();
     let endpoints: Vec<Value> = backends
@@ -169,7 +172,7 @@
     (proxy, discovery)
 }
 
-/// Collects the lines that a process writes to standard error.
+/// Collects the lines that a process writes to standard error, in a thread.
 fn collect_log(stderr: ChildStderr) -> Arc<Mutex<String>> {
     let log = Arc::<Mutex<String>>::default();
     let collected = log.clone();
--- a/crates/proxy/tests/support/response_gate.rs
+++ b/crates/proxy/tests/support/response_gate.rs
@@ -1,28 +1,28 @@
-//! Lets a test hold the responses of fake backends until it opens a gate.
+//! A gate that blocks the responses of fake backends until the test opens it.
 
 use std::sync::{mpsc, Arc, Mutex};
 
-/// Opens the gate that it was created with.
+/// Opens the gate that was created together with it.
 pub struct GateOpener {
-    /// Never used to send: dropping it ends the wait of every receiver.
+    /// Nothing is sent on it. Dropping it ends the wait of every receiver.
     _sender: mpsc::Sender<()>,
 }
 
 impl GateOpener {
-    /// Lets everything pass that waits and all that comes later.
+    /// Opens the gate: all current and later calls of [`ResponseGate::wait`] return.
     pub fn open(self) {
         drop(self);
     }
 }
 
-/// Waits at a gate; its clones wait at the same one.
+/// A gate to wait at. Clones refer to the same gate.
 #[derive(Clone)]
 pub struct ResponseGate {
     receiver: Arc<Mutex<mpsc::Receiver<()>>>,
 }
 
 impl ResponseGate {
-    /// A closed gate and what opens it; the gate also opens when the opener is dropped.
+    /// Creates a closed gate and its opener. The gate also opens when the opener is dropped.
     pub fn closed() -> (GateOpener, ResponseGate) {
         let (sender, receiver) = mpsc::channel();
         let receiver = Arc::new(Mutex::new(receiver));
@@ -30,8 +30,8 @@
         (opener, ResponseGate { receiver })
     }
 
-    /// Returns once the gate is open.
+    /// Blocks until the gate is open.
     pub fn wait(&self) {
-        let _ = self.receiver.lock().unwrap().recv(); // an error: the opener is dropped
+        let _ = self.receiver.lock().unwrap().recv(); // an error says that the opener was dropped
     }
 }
--- a/crates/proxy/tests/support/saturated_listener.rs
+++ b/crates/proxy/tests/support/saturated_listener.rs
@@ -1,30 +1,31 @@
-//! A listener whose backlog is full: connections to it cannot be established until the test lets
-//! them.
+//! A listener whose backlog is full, so that connections to it cannot be established until the test
+//! empties the backlog.
 
 use super::byte_counter::ByteCounter;
 use super::tcp_table::{table_address, tcp_connections, TcpState};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A connection on which nothing arrives for so long is taken for an idle one.
+/// A connection on which nothing arrives for this time is regarded as idle.
 const MAX_SILENCE: Duration = Duration::from_millis(500);
-/// How long an attempt to connect may take until the backlog counts as full.
+/// The backlog is regarded as full when a connection is not established within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A listener whose backlog is full.
 pub struct SaturatedListener {
     listener: TcpListener,
+    /// The connections that fill the backlog.
     queued: Vec<TcpStream>,
 }
 
 impl SaturatedListener {
-    /// A listener with the smallest backlog.
+    /// Starts a listener with the smallest backlog.
     pub fn start() -> SaturatedListener {
         SaturatedListener::with_backlog(0)
     }
 
-    /// One connection more than `backlog` can be established at once after
-    /// [`SaturatedListener::accept_queued`].
+    /// Starts a listener with the given backlog. After [`SaturatedListener::accept_queued`],
+    /// `backlog` + 1 connections can be established at the same time.
     pub fn with_backlog(backlog: i32) -> SaturatedListener {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -44,12 +45,12 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Whether some connection to the listener is being made.
+    /// Whether a connection to the listener is waiting to be established.
     pub fn has_pending_connect(&self) -> bool {
         self.connections_in(TcpState::SynSent) > 0
     }
 
-    /// How many connections to the listener are in this state.
+    /// How many connections to the listener are in the given state.
     pub fn connections_in(&self, state: TcpState) -> usize {
         let address = table_address(self.address());
         tcp_connections()
@@ -59,8 +60,7 @@
             .count()
     }
 
-    /// Empties the backlog, so that connections which are being made are established, and reads
-    /// nothing.
+    /// Empties the backlog without reading anything, so that waiting connections are established.
     pub fn accept_queued(&mut self) {
         self.queued.clear();
         self.listener.set_nonblocking(true).unwrap();
@@ -68,13 +68,14 @@
         self.listener.set_nonblocking(false).unwrap();
     }
 
-    /// Accepts all connections from now on and counts the bytes that the proxy has sent on them.
+    /// Accepts all connections from now on and returns the number of bytes that the proxy has sent
+    /// on them.
     pub fn count_received_bytes(self) -> usize {
         self.into_byte_counter(MAX_SILENCE).finish()
     }
 
-    /// Accepts all connections from now on and starts to count what arrives on them; see
-    /// [`ByteCounter::start`].
+    /// Accepts all connections from now on and starts to count the bytes that arrive on them, as
+    /// [`ByteCounter::start`] describes.
     pub fn into_byte_counter(self, max_silence: Duration) -> ByteCounter {
         drop(self.queued);
         ByteCounter::start(self.listener, max_silence)
--- a/crates/proxy/tests/support/settings.rs
+++ b/crates/proxy/tests/support/settings.rs
@@ -1,11 +1,12 @@
-//! Endpoints, settings and configurations for the tests.
+//! Endpoints, balancer settings and proxy configurations for the tests.
 
 use super::fake_discovery::FakeDiscovery;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// An endpoint of the list; a start time of 0 stands for an unknown one.
+/// An entry of the endpoint list. `started_at_ms` is the start time of the backend's process in
+/// milliseconds, or 0 if it is unknown.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str, started_at_ms: u64) -> Value {
     json!({
         "name": name,
@@ -19,12 +20,12 @@
     })
 }
 
-/// An endpoint that takes requests.
+/// An endpoint that accepts requests.
 pub fn ready(name: &str, address: SocketAddr) -> Value {
     endpoint(name, address, "ready", 0)
 }
 
-/// An endpoint that takes no new requests.
+/// An endpoint that accepts no new requests.
 pub fn draining(name: &str, address: SocketAddr) -> Value {
     endpoint(name, address, "draining", 0)
 }
@@ -83,7 +84,7 @@
     })
 }
 
-/// The configuration of a proxy that starts with these endpoints.
+/// The configuration of a proxy that starts with the given endpoints.
 pub fn proxy_config(discovery: SocketAddr, endpoints: &[Value]) -> Value {
     json!({
         "name": "n1",
@@ -96,7 +97,8 @@
     })
 }
 
-/// A configuration with deadlines that no test comes near: requests end only by what the test does.
+/// A configuration with deadlines that no test reaches, so that requests end only through what the
+/// test does.
 pub fn proxy_config_without_deadlines(discovery: &FakeDiscovery, endpoints: &[Value]) -> Value {
     const TEN_MINUTES_US: u64 = 600_000_000;
     let mut config = proxy_config(discovery.address, endpoints);
@@ -107,13 +109,14 @@
     config
 }
 
-/// A free address that no other caller gets: each port is tried once, below the range of ephemeral
-/// ports. From that range another test's backend or connection could get it before the proxy binds
-/// it.
+/// A free address that no other caller gets: each port is tried once. The ports are below the range
+/// of ephemeral ports, because the system could give a port of that range to another test's backend
+/// or connection before the proxy binds it.
 pub fn free_address() -> SocketAddr {
     const FIRST_PORT: u64 = 10_000;
     const PORT_COUNT: u64 = 20_000;
-    /// Keeps test processes that run at once apart.
+    /// The distance between the first ports of two successive process ids, which keeps test
+    /// processes that run at the same time apart.
     const PORTS_PER_PROCESS: u64 = 101;
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let start = u64::from(std::process::id()) * PORTS_PER_PROCESS;
--- a/crates/proxy/tests/support/tcp_table.rs
+++ b/crates/proxy/tests/support/tcp_table.rs
@@ -1,17 +1,18 @@
-//! The system's table of TCP connections.
+//! Reads the system's table of TCP connections, `/proc/net/tcp`.
 
 use std::net::SocketAddr;
 
 /// State of a connection in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TcpState {
+    /// The handshake is complete.
     Established,
-    /// Being made: not accepted into the listener's backlog yet.
+    /// The handshake has begun. The listener's backlog has not taken the connection yet.
     SynSent,
 }
 
 impl TcpState {
-    /// The state's code in the table.
+    /// The code that the table uses for the state.
     pub fn code(self) -> &'static str {
         match self {
             TcpState::Established => "01",
@@ -20,12 +21,12 @@
     }
 }
 
-/// A loopback address as the table writes it.
+/// The address 127.0.0.1 with the port of `address`, in the table's hexadecimal format.
 pub fn table_address(address: SocketAddr) -> String {
     format!("0100007F:{:04X}", address.port())
 }
 
-/// A line of the table, as the table writes its fields.
+/// A line of the table, with its fields in the table's format.
 #[derive(PartialEq, Eq, Hash)]
 pub struct TcpConnection {
     pub local_address: String,
@@ -33,7 +34,7 @@
     pub state: String,
 }
 
-/// All IPv4 connections and listeners of the system.
+/// Reads all IPv4 connections and listeners of the system.
 pub fn tcp_connections() -> Vec<TcpConnection> {
     std::fs::read_to_string("/proc/net/tcp")
         .unwrap()
--- a/crates/proxy/tests/support/wait.rs
+++ b/crates/proxy/tests/support/wait.rs
@@ -1,17 +1,22 @@
-//! Waiting for a condition.
+//! Waits for a condition with a time limit.
 
 use std::time::{Duration, Instant};
 
-/// Far longer than anything in these tests takes: only a failing test waits so long.
+/// The time limit of each wait. It is far longer than any step of these tests takes, so that only a
+/// failing test reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Polls a condition until it holds; panics after [`TEST_TIMEOUT`], naming what was awaited.
+/// Polls a condition until it holds. Panics after [`TEST_TIMEOUT`] with `awaited`, a clause that
+/// describes the condition.
 pub fn wait_until(awaited: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "timed out: {awaited}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting until {awaited}"
+        );
         std::thread::sleep(POLL_INTERVAL);
     }
 }
