--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -20,19 +20,19 @@
     enforced: usize,
     /// The number of open descriptors from which the proxy accepts a client only if it closes
     /// another.
-    saturated: usize,
+    open_when_saturated: usize,
 }
 
-const FEW: Limits = Limits {
+const FEW_DESCRIPTORS: Limits = Limits {
     configured: 64,
     enforced: 64,
-    saturated: 24,
+    open_when_saturated: 24,
 };
 
-const MANY: Limits = Limits {
+const MANY_DESCRIPTORS: Limits = Limits {
     configured: 1024,
     enforced: 1024,
-    saturated: 504,
+    open_when_saturated: 504,
 };
 
 /// The system's limit is lower than the configured one, from which the proxy computes how many
@@ -41,7 +41,7 @@
 const FEWER_THAN_CONFIGURED: Limits = Limits {
     configured: 1024,
     enforced: 64,
-    saturated: 62,
+    open_when_saturated: 62,
 };
 
 /// Asserts that the proxy recovers from an outage of discovery while idle clients take all
@@ -58,7 +58,7 @@
     std::thread::scope(|scope| {
         let clients = scope.spawn(|| keep_clients_connected(&proxy, 2 * limits.enforced, &stopped));
         wait_until("all connections for clients are in use", || {
-            proxy.open_descriptors() >= limits.saturated
+            proxy.open_descriptors() >= limits.open_when_saturated
         });
         let discovery = FakeDiscovery::start_at(discovery_address);
         wait_until("the watch resumes", || discovery.polls() > 0);
@@ -127,22 +127,22 @@
 
 #[test]
 fn few_descriptors_suffice_with_pushed_lists() {
-    assert_recovery_with_idle_clients(FEW, "automatic");
+    assert_recovery_with_idle_clients(FEW_DESCRIPTORS, "automatic");
 }
 
 #[test]
 fn few_descriptors_suffice_with_polled_lists() {
-    assert_recovery_with_idle_clients(FEW, "subscribe");
+    assert_recovery_with_idle_clients(FEW_DESCRIPTORS, "subscribe");
 }
 
 #[test]
 fn many_descriptors_suffice_with_pushed_lists() {
-    assert_recovery_with_idle_clients(MANY, "automatic");
+    assert_recovery_with_idle_clients(MANY_DESCRIPTORS, "automatic");
 }
 
 #[test]
 fn many_descriptors_suffice_with_polled_lists() {
-    assert_recovery_with_idle_clients(MANY, "subscribe");
+    assert_recovery_with_idle_clients(MANY_DESCRIPTORS, "subscribe");
 }
 
 #[test]
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -16,19 +16,25 @@
         a.request_count() > 0 && b.request_count() > 0
     });
     discovery.apply_delta(&[draining("a", a.address)]);
-    wait_until("all connections to a are closed", || is_unused(&a));
+    wait_until("all connections to a are closed", || {
+        has_no_open_connections(&a)
+    });
     let before = a.request_count();
     assert_all_served_by(&proxy, b"b");
     discovery.apply_delta(&[ready("a", a.address), removed("b", b.address)]);
-    wait_until("all connections to b are closed", || is_unused(&b));
+    wait_until("all connections to b are closed", || {
+        has_no_open_connections(&b)
+    });
     assert_all_served_by(&proxy, b"a");
     assert!(a.request_count() >= before + 20);
     discovery.apply_snapshot(&[ready("b", b.address)]);
-    wait_until("all connections to a are closed again", || is_unused(&a));
+    wait_until("all connections to a are closed again", || {
+        has_no_open_connections(&a)
+    });
     assert_all_served_by(&proxy, b"b");
 }
 
-fn is_unused(backend: &FakeBackend) -> bool {
+fn has_no_open_connections(backend: &FakeBackend) -> bool {
     backend.connections_closed() == backend.connections_opened()
 }
 
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -34,22 +34,22 @@
 /// that follow it must not be forwarded as the response to another request.
 #[test]
 fn bytes_behind_a_response_are_not_taken_for_another_one() {
-    let next = AtomicUsize::new(0);
+    let next_number = AtomicUsize::new(0);
     let backend = FakeBackend::start(move |_| {
-        let number = next.fetch_add(1, Ordering::SeqCst);
-        let good = |headers: &str| {
+        let number = next_number.fetch_add(1, Ordering::SeqCst);
+        let ok_with_headers = |headers: &str| {
             format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: 2\r\n\r\n{number:02}")
         };
         Reply::Respond(match number % 5 {
-            0 => good("") + &good(""),
-            1 => good("") + "noise\r\n\r\n",
-            2 => good("X-Backend-Load: TEXT =,=\r\n"),
+            0 => ok_with_headers("") + &ok_with_headers(""),
+            1 => ok_with_headers("") + "noise\r\n\r\n",
+            2 => ok_with_headers("X-Backend-Load: TEXT =,=\r\n"),
             3 => {
                 let informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n\
                                      HTTP/1.1 102 Processing\r\n\r\n";
-                informational.to_string() + &good("")
+                informational.to_string() + &ok_with_headers("")
             }
-            _ => good(""),
+            _ => ok_with_headers(""),
         })
     });
     let (proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -55,22 +55,22 @@
 /// A request of which a first part is sent, and the remainder when the test asks for it.
 struct SplitRequest {
     client: Client,
-    rest: String,
+    remainder: String,
 }
 
 impl SplitRequest {
     /// Sends the first `length` bytes of a request on a new connection.
     fn send_first(proxy: &ProxyProcess, text: &str, length: usize) -> SplitRequest {
-        let (first, rest) = text.split_at(length);
+        let (first, remainder) = text.split_at(length);
         SplitRequest {
             client: Client::connect_and_send(proxy.address, first),
-            rest: rest.into(),
+            remainder: remainder.into(),
         }
     }
 
     /// Sends the remainder and returns the client.
-    fn send_rest(mut self) -> Client {
-        self.client.send(&self.rest);
+    fn send_remainder(mut self) -> Client {
+        self.client.send(&self.remainder);
         self.client
     }
 }
@@ -91,9 +91,9 @@
     let (mut proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
     let mut unused = Client::connect(proxy.address);
     let text = request("pay", 7000);
-    let half_head = SplitRequest::send_first(&proxy, &text, 40);
+    let partial_head = SplitRequest::send_first(&proxy, &text, 40);
     let text = request("pay", 7000);
-    let half_body = SplitRequest::send_first(&proxy, &text, text.len() - 2);
+    let partial_body = SplitRequest::send_first(&proxy, &text, text.len() - 2);
     let held = send_read_of(&proxy, "/held?");
     wait_until("the held request is sent", || backend.request_count() == 1);
     let unread = send_read_of(&proxy, "/large?");
@@ -107,10 +107,10 @@
         .read_response()
         .expect("a response while the connection is open");
     assert_last_response_of_connection(&response);
-    let with_rest = [half_head.send_rest(), half_body.send_rest()];
+    let completed_clients = [partial_head.send_remainder(), partial_body.send_remainder()];
     unused.send(&request("read", 7000));
     opener.open();
-    for mut client in with_rest.into_iter().chain([unused, held, unread]) {
+    for mut client in completed_clients.into_iter().chain([unused, held, unread]) {
         assert_eq!(client.read_status(), Some(200));
         assert!(client.wait_for_close());
     }
--- a/crates/proxy/tests/held_up_process.rs
+++ b/crates/proxy/tests/held_up_process.rs
@@ -6,10 +6,10 @@
 use support::*;
 
 /// How long the process gets no processor time: many ticks.
-const HOLD_UP: Duration = Duration::from_millis(100);
+const PAUSE_DURATION: Duration = Duration::from_millis(100);
 /// How often the test pauses a process. A pause can cause the failure only if a check of the queued
 /// requests falls due during it.
-const HOLD_UPS: usize = 10;
+const PAUSE_COUNT: usize = 10;
 
 /// Guards against a fault in which requests that arrived while the process got no processor time
 /// were rejected immediately, although a backend was idle. The check of the queued requests was
@@ -19,7 +19,7 @@
 #[test]
 fn a_request_that_arrives_while_the_process_is_held_up_is_sent_to_an_idle_backend() {
     let mut statuses = Vec::new();
-    for _ in 0..HOLD_UPS {
+    for _ in 0..PAUSE_COUNT {
         let (opener, gate) = ResponseGate::closed();
         let backends = [gate.clone(), gate].map(start_backend);
         let discovery = FakeDiscovery::start();
@@ -30,9 +30,9 @@
         let config = proxy_config_without_deadlines(&discovery, &endpoints);
         let proxy = ProxyProcess::start(&config);
         assert_reads_succeed(&proxy, 4);
-        // Until this request is answered, the balancer checks its attempt in every tick.
-        let held = request("read", 8_000).replace("/a?", "/held?");
-        let _held = Client::connect_and_send(proxy.address, &held);
+        // Until the held request is answered, the balancer checks its attempt in every tick.
+        let held_request = request("read", 8_000).replace("/a?", "/held?");
+        let _held_client = Client::connect_and_send(proxy.address, &held_request);
         wait_until("the request is sent", || {
             backends
                 .iter()
@@ -42,12 +42,12 @@
         });
         proxy.pause();
         let mut client = Client::connect_and_send(proxy.address, &request("pay", 8_000));
-        std::thread::sleep(HOLD_UP);
+        std::thread::sleep(PAUSE_DURATION);
         proxy.resume();
         statuses.push(client.read_status());
         opener.open();
     }
-    assert_eq!(statuses, [Some(200); HOLD_UPS]);
+    assert_eq!(statuses, [Some(200); PAUSE_COUNT]);
 }
 
 /// Starts a backend that does not respond to requests for `/held` until the gate opens.
--- a/crates/proxy/tests/request_validation.rs
+++ b/crates/proxy/tests/request_validation.rs
@@ -13,9 +13,9 @@
     for case in invalid_requests() {
         let mut client = Client::connect(proxy.address);
         client.send(&(case.text.clone() + &request("read", 7000)));
-        let shown = &case.text[..case.text.len().min(300)];
-        assert_eq!(client.read_status(), Some(case.status), "{shown}");
-        assert!(client.wait_for_close(), "{shown}");
+        let excerpt = &case.text[..case.text.len().min(300)];
+        assert_eq!(client.read_status(), Some(case.status), "{excerpt}");
+        assert!(client.wait_for_close(), "{excerpt}");
     }
     assert_eq!(backend.request_count(), 0);
     // The largest time left, `u64::MAX` milliseconds, is valid.
@@ -149,12 +149,12 @@
 /// readers that each use a different one of these headers disagree about where the body ends, and
 /// one of them parses a part of the body as another request.
 fn invalid_transfer_encodings() -> Vec<InvalidRequest> {
-    let chunked_behind_length = "Content-Length: 4\r\nTransfer-Encoding: chunked";
+    let chunked_after_length = "Content-Length: 4\r\nTransfer-Encoding: chunked";
     let chunked_before_length = "Transfer-Encoding: chunked\r\nContent-Length: 4";
     let chunked =
         pay_request_with("Transfer-Encoding: chunked").replace("body", "4\r\nbody\r\n0\r\n\r\n");
     vec![
-        InvalidRequest::new(411, pay_request_with(chunked_behind_length)),
+        InvalidRequest::new(411, pay_request_with(chunked_after_length)),
         InvalidRequest::new(411, pay_request_with(chunked_before_length)),
         InvalidRequest::new(411, chunked),
         InvalidRequest::new(400, pay_request_with("Transfer-Encoding: gzip")),
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -119,12 +119,12 @@
     for response in malformed {
         let start = Instant::now();
         let reply = move || Reply::Respond(response());
-        let shown = format!("{:.60}", response());
-        assert_eq!(outcome_of(reply, "read"), SERVED_AFTER_RETRY, "{shown}");
-        assert_eq!(outcome_of(reply, "pay"), FAILED_WITHOUT_RETRY, "{shown}");
+        let excerpt = format!("{:.60}", response());
+        assert_eq!(outcome_of(reply, "read"), SERVED_AFTER_RETRY, "{excerpt}");
+        assert_eq!(outcome_of(reply, "pay"), FAILED_WITHOUT_RETRY, "{excerpt}");
         assert!(
             start.elapsed() < Duration::from_secs(6),
-            "the attempt must fail before the deadline: {shown}"
+            "the attempt must fail before the deadline: {excerpt}"
         );
     }
     // A long series of 1xx responses without a final response.
--- a/crates/proxy/tests/support/fake_discovery.rs
+++ b/crates/proxy/tests/support/fake_discovery.rs
@@ -61,7 +61,7 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while read_http_message(&mut reader).is_some() {
             *self.polls.lock().unwrap() += 1;
-            let Some(body) = self.await_publication(&stream) else {
+            let Some(body) = self.wait_for_body(&stream) else {
                 break;
             };
             let length = body.len();
@@ -74,7 +74,7 @@
 
     /// Waits until a body is published and returns it. Returns `None` if the proxy closes the
     /// connection first.
-    fn await_publication(&self, stream: &TcpStream) -> Option<String> {
+    fn wait_for_body(&self, stream: &TcpStream) -> Option<String> {
         let (published, changed) = &*self.published;
         let mut published = published.lock().unwrap();
         stream.set_nonblocking(true).unwrap();
--- a/crates/proxy/tests/support/saturated_listener.rs
+++ b/crates/proxy/tests/support/saturated_listener.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A connection on which nothing arrives for this time is regarded as idle.
-const MAX_SILENCE: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The backlog is regarded as full when a connection is not established within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
@@ -71,13 +71,13 @@
     /// Accepts all connections from now on and returns the number of bytes that the proxy has sent
     /// on them.
     pub fn count_received_bytes(self) -> usize {
-        self.into_byte_counter(MAX_SILENCE).finish()
+        self.into_byte_counter(IDLE_TIMEOUT).finish()
     }
 
     /// Accepts all connections from now on and starts to count the bytes that arrive on them, as
     /// [`ByteCounter::start`] describes.
-    pub fn into_byte_counter(self, max_silence: Duration) -> ByteCounter {
+    pub fn into_byte_counter(self, idle_timeout: Duration) -> ByteCounter {
         drop(self.queued);
-        ByteCounter::start(self.listener, max_silence)
+        ByteCounter::start(self.listener, idle_timeout)
     }
 }
--- a/crates/proxy/tests/support/wait.rs
+++ b/crates/proxy/tests/support/wait.rs
@@ -8,14 +8,14 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Polls a condition until it holds. Panics after [`TEST_TIMEOUT`] with `awaited`, a clause that
-/// describes the condition.
-pub fn wait_until(awaited: &str, mut condition: impl FnMut() -> bool) {
+/// Polls a condition until it holds. Panics after [`TEST_TIMEOUT`] with `description`, a clause
+/// that describes the condition.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(
             Instant::now() < deadline,
-            "timed out waiting until {awaited}"
+            "timed out waiting until {description}"
         );
         std::thread::sleep(POLL_INTERVAL);
     }
