--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -64,7 +64,7 @@
 
 /// A proxy that runs out of descriptors keeps running and serves again when descriptors are free.
 #[test]
-fn the_proxy_survives_running_out_of_descriptors() {
+fn the_proxy_serves_again_after_running_out_of_descriptors() {
     let backend = FakeBackend::responding_ok("x");
     let discovery = FakeDiscovery::start();
     let config = proxy_config(discovery.address, &[ready("a", backend.address)]);
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -8,7 +8,7 @@
 /// Guards against two failures. Without a handler, SIGHUP would end the process. With a handler
 /// that does not reload the file, the proxy would go on polling the old discovery address for ever.
 #[test]
-fn sighup_moves_the_watch_to_the_new_discovery() {
+fn sighup_switches_polling_to_the_new_discovery_address() {
     let a = FakeBackend::responding_ok("a");
     let b = FakeBackend::responding_ok("b");
     let first = FakeDiscovery::start();
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -35,7 +35,7 @@
 /// A backend that has closed an idle connection cannot have received the next request, so the proxy
 /// sends it on a new connection.
 #[test]
-fn a_closed_idle_connection_costs_no_attempt() {
+fn a_request_is_sent_on_a_new_connection_if_the_idle_one_was_closed() {
     let is_first = AtomicBool::new(true);
     let backend = FakeBackend::start(move |_| {
         if is_first.swap(false, Ordering::SeqCst) {
@@ -60,7 +60,7 @@
 /// closes the connection. Another proxy cannot open a connection that this one keeps idle, so this
 /// one closes half of its idle connections.
 #[test]
-fn half_of_the_idle_connections_are_closed_when_a_backend_runs_out_of_them() {
+fn half_of_the_idle_connections_are_closed_when_a_backend_rejects_a_connection() {
     let accepting: Vec<FakeBackend> = (0..4).map(|_| FakeBackend::responding_ok("x")).collect();
     let saturated = FakeBackend::start(|_| {
         let head =
--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -126,32 +126,32 @@
 }
 
 #[test]
-fn few_descriptors_suffice_with_pushed_lists() {
+fn the_proxy_recovers_with_few_descriptors_and_pushed_lists() {
     assert_recovery_with_idle_clients(FEW_DESCRIPTORS, "automatic");
 }
 
 #[test]
-fn few_descriptors_suffice_with_polled_lists() {
+fn the_proxy_recovers_with_few_descriptors_and_polled_lists() {
     assert_recovery_with_idle_clients(FEW_DESCRIPTORS, "subscribe");
 }
 
 #[test]
-fn many_descriptors_suffice_with_pushed_lists() {
+fn the_proxy_recovers_with_many_descriptors_and_pushed_lists() {
     assert_recovery_with_idle_clients(MANY_DESCRIPTORS, "automatic");
 }
 
 #[test]
-fn many_descriptors_suffice_with_polled_lists() {
+fn the_proxy_recovers_with_many_descriptors_and_polled_lists() {
     assert_recovery_with_idle_clients(MANY_DESCRIPTORS, "subscribe");
 }
 
 #[test]
-fn fewer_descriptors_than_configured_suffice_with_pushed_lists() {
+fn the_proxy_recovers_with_fewer_descriptors_than_configured_and_pushed_lists() {
     assert_recovery_with_idle_clients(FEWER_THAN_CONFIGURED, "automatic");
 }
 
 #[test]
-fn fewer_descriptors_than_configured_suffice_with_polled_lists() {
+fn the_proxy_recovers_with_fewer_descriptors_than_configured_and_polled_lists() {
     assert_recovery_with_idle_clients(FEWER_THAN_CONFIGURED, "subscribe");
 }
 
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_malformed_endpoint_list_is_rejected_and_the_previous_one_stays() {
+fn a_malformed_endpoint_list_is_rejected_and_the_previous_one_stays_in_use() {
     let backend = FakeBackend::responding_ok("x");
     let (proxy, discovery) = start_proxy_with(&[("a", &backend)]);
     let incomplete = json!({"index": 9, "snapshot": true, "endpoints": [{"name": "b"}]});
@@ -89,7 +89,7 @@
 /// If the discovery service accepts polls and never responds, the proxy keeps serving with the
 /// endpoint list that it has, and polls again.
 #[test]
-fn an_unresponsive_discovery_service_does_not_block_the_watch() {
+fn the_proxy_serves_and_polls_again_if_discovery_never_responds() {
     let backend = FakeBackend::responding_ok("x");
     let (proxy, discovery) = start_proxy_with(&[("a", &backend)]);
     wait_until("the proxy polls again after a poll has timed out", || {
@@ -102,7 +102,7 @@
 /// In the mode `subscribe`, the proxy polls only when the balancer requests it. The balancer must
 /// request a poll at the start and again after each failed poll.
 #[test]
-fn the_watch_starts_again_after_a_failed_poll() {
+fn the_proxy_polls_again_after_a_failed_poll() {
     let backend = FakeBackend::responding_ok("x");
     let discovery = FakeDiscovery::start();
     let mut config = proxy_config(discovery.address, &[draining("a", free_address())]);
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -33,7 +33,7 @@
 /// A successful response is forwarded even if unknown headers or 1xx responses come with it. Bytes
 /// that follow it must not be forwarded as the response to another request.
 #[test]
-fn bytes_behind_a_response_are_not_taken_for_another_one() {
+fn bytes_after_a_response_are_not_forwarded_as_another_response() {
     let next_number = AtomicUsize::new(0);
     let backend = FakeBackend::start(move |_| {
         let number = next_number.fetch_add(1, Ordering::SeqCst);
@@ -64,7 +64,7 @@
 /// The request itself is invalid, so that every backend would reject it. The response is forwarded,
 /// the request is not retried, and the error does not count against the backend.
 #[test]
-fn a_client_error_of_a_backend_is_forwarded() {
+fn a_client_error_of_a_backend_is_forwarded_without_a_retry() {
     let backend = FakeBackend::start(|request| match request.header("x-bad") {
         Some(_) => {
             Reply::Respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\n\r\nbad".into())
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -167,7 +167,7 @@
 
 /// A proxy that is terminated before it has a backend still answers the requests that it receives.
 #[test]
-fn sigterm_before_the_first_endpoint_list_exits_with_success() {
+fn sigterm_before_the_first_endpoint_list_answers_requests_and_exits_with_success() {
     let discovery = FakeDiscovery::start();
     let mut proxy = ProxyProcess::spawn(&proxy_config(discovery.address, &[]));
     proxy.wait_until_unavailable();
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -84,7 +84,7 @@
 /// Backends remember an idempotency key for a limited time, the key's window. A retry must not be
 /// sent if its connection is established after the window has ended.
 #[test]
-fn a_keyed_retry_is_not_sent_if_its_connect_outlasts_the_key_window() {
+fn a_retry_is_not_sent_if_the_key_window_ends_during_its_connect() {
     let (opener, gate) = ResponseGate::closed();
     let first = FakeBackend::start(move |request| {
         if !request.start_line.starts_with("POST") {
--- a/crates/proxy/tests/request_validation.rs
+++ b/crates/proxy/tests/request_validation.rs
@@ -173,7 +173,7 @@
 
 /// If two requests have the same id, the second is rejected and the first is answered as usual.
 #[test]
-fn the_id_of_a_pending_request_is_rejected() {
+fn a_request_with_the_id_of_a_pending_request_is_rejected() {
     let (opener, gate) = ResponseGate::closed();
     let backend = FakeBackend::start(move |_| {
         gate.wait();
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -97,7 +97,7 @@
 /// immediately, not at the deadline, and the connection must not be used again. The request counts
 /// as possibly executed.
 #[test]
-fn a_malformed_response_fails_the_attempt_at_once() {
+fn a_malformed_response_fails_the_attempt_before_the_deadline() {
     let malformed: [fn() -> String; 11] = [
         || "\u{1}\u{2}noise\r\n\r\n".into(),
         || "HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\nx".into(),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_the_request_was_not_executed() {
+fn a_refused_connection_counts_as_not_executed() {
     let backend = FakeBackend::responding_ok("served");
     let discovery = FakeDiscovery::start();
     let endpoints = [ready("a", free_address()), ready("b", backend.address)];
