--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -18,8 +18,8 @@
     configured: usize,
     /// The limit that the system enforces.
     enforced: usize,
-    /// The number of open descriptors from which the proxy accepts a client only if it closes
-    /// another.
+    /// The number of open descriptors at which the proxy accepts a new client only if it closes
+    /// another connection.
     open_when_saturated: usize,
 }
 
@@ -111,8 +111,8 @@
     }
 }
 
-/// Connects a client that becomes idle. By its number, it sends nothing, a part of a request or a
-/// complete request, after whose response it stays connected.
+/// Connects a client that becomes idle. Depending on `number`, it sends nothing, a part of a
+/// request, or a complete request after whose response it stays connected.
 fn connect_idle(proxy: &ProxyProcess, number: usize) -> Option<Client> {
     let text = match number % 4 {
         0 => String::new(),
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -133,9 +133,9 @@
     })
 }
 
-/// The process may be killed 0.7 s after the longest deadline of a request that arrived by SIGTERM.
-/// A deadline of more than 3 s counts as 3 s. Requests that arrive after SIGTERM must be answered
-/// before that, and no connection may stay open on which more requests could arrive.
+/// The process may be killed 0.7 s after the longest deadline of a request that arrived before
+/// SIGTERM. A deadline of more than 3 s counts as 3 s. Requests that arrive after SIGTERM must be
+/// answered before that, and no connection may stay open on which more requests could arrive.
 #[test]
 fn requests_after_sigterm_are_answered_before_the_process_may_be_killed() {
     let backend = FakeBackend::unresponsive();
