--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -1,6 +1,6 @@
-//! Idle clients may take every connection that there is for clients while discovery is down. Once
-//! it is back, the watch resumes, backends can be connected to, the readiness check is answered and
-//! new clients are accepted.
+//! Recovery from an outage of discovery with few free descriptors. During the outage, idle clients
+//! may take all connections that the proxy has for clients. When discovery is back, the proxy must
+//! resume polling, connect to backends, answer the readiness check and accept new clients.
 
 mod support;
 
@@ -10,37 +10,42 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Limits on descriptors.
+/// Limits on open descriptors, and the number that is open when clients hold all connections that
+/// they can get.
 #[derive(Clone, Copy)]
 struct Limits {
     /// The limit in the proxy's configuration.
     configured: usize,
     /// The limit that the system enforces.
     enforced: usize,
-    /// With so many open, no client is accepted unless another is closed.
-    saturated: usize,
+    /// The number of open descriptors at which the proxy accepts a new client only if it closes
+    /// another connection.
+    open_when_saturated: usize,
 }
 
-const FEW: Limits = Limits {
+const FEW_DESCRIPTORS: Limits = Limits {
     configured: 64,
     enforced: 64,
-    saturated: 24,
+    open_when_saturated: 24,
 };
 
-const MANY: Limits = Limits {
+const MANY_DESCRIPTORS: Limits = Limits {
     configured: 1024,
     enforced: 1024,
-    saturated: 504,
+    open_when_saturated: 504,
 };
 
-/// The system allows fewer than the configuration says: none are kept in reserve then, and the
-/// proxy has to compete for each.
+/// The system's limit is lower than the configured one, from which the proxy computes how many
+/// clients it accepts. No descriptor is therefore reserved, and the proxy's other connections
+/// compete with those of clients for each descriptor.
 const FEWER_THAN_CONFIGURED: Limits = Limits {
     configured: 1024,
     enforced: 64,
-    saturated: 62,
+    open_when_saturated: 62,
 };
 
+/// Asserts that the proxy recovers from an outage of discovery while idle clients take all
+/// connections that they can get.
 fn assert_recovery_with_idle_clients(limits: Limits, discovery_mode: &str) {
     let old_backend = FakeBackend::responding_ok("old");
     let new_backend = FakeBackend::responding_ok("new");
@@ -54,17 +59,24 @@
     let stopped = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let clients = scope.spawn(|| keep_clients_connected(&proxy, 2 * limits.enforced, &stopped));
-        wait_until("all connections for clients are taken", || {
-            proxy.open_descriptors() >= limits.saturated
+        wait_until("all connections for clients are in use", || {
+            proxy.open_descriptors() >= limits.open_when_saturated
         });
         let discovery = FakeDiscovery::start_at(discovery_address);
         wait_until("the watch resumes", || discovery.polls() > 0);
         discovery.apply_snapshot(&[ready("b", new_backend.address)]);
         proxy.wait_until_ready();
         let response = send_request(&proxy, &request("read", 8000));
-        assert_eq!(response.body, b"new", "a new client, a new backend");
+        assert_eq!(
+            response.body, b"new",
+            "a new client is served by the new backend"
+        );
         let open = proxy.open_descriptors();
-        assert!(open <= limits.enforced, "{open} of {}", limits.enforced);
+        assert!(
+            open <= limits.enforced,
+            "{open} open descriptors of {}",
+            limits.enforced
+        );
         stopped.store(true, Ordering::SeqCst);
         clients.join().unwrap();
     });
@@ -89,7 +101,8 @@
     config
 }
 
-/// Keeps idle clients connected until it is stopped; those that the proxy closes connect again.
+/// Keeps `count` idle clients connected until `stopped` is set. Clients whose connections the proxy
+/// closes connect again.
 fn keep_clients_connected(proxy: &ProxyProcess, count: usize, stopped: &AtomicBool) {
     const CHECK_INTERVAL: Duration = Duration::from_millis(20);
     let mut clients: Vec<Option<Client>> = (0..count).map(|n| connect_idle(proxy, n)).collect();
@@ -103,7 +116,8 @@
     }
 }
 
-/// Some clients send nothing, some a part of a request, some are served once and stay connected.
+/// Connects a client that becomes idle. Depending on `number`, it sends nothing, a part of a
+/// request, or a complete request after whose response it stays connected.
 fn connect_idle(proxy: &ProxyProcess, number: usize) -> Option<Client> {
     let text = match number % 4 {
         0 => String::new(),
@@ -117,37 +131,37 @@
 }
 
 #[test]
-fn few_descriptors_suffice_with_pushed_lists() {
-    assert_recovery_with_idle_clients(FEW, "automatic");
+fn the_proxy_recovers_with_few_descriptors_and_pushed_lists() {
+    assert_recovery_with_idle_clients(FEW_DESCRIPTORS, "automatic");
 }
 
 #[test]
-fn few_descriptors_suffice_with_polled_lists() {
-    assert_recovery_with_idle_clients(FEW, "subscribe");
+fn the_proxy_recovers_with_few_descriptors_and_polled_lists() {
+    assert_recovery_with_idle_clients(FEW_DESCRIPTORS, "subscribe");
 }
 
 #[test]
-fn many_descriptors_suffice_with_pushed_lists() {
-    assert_recovery_with_idle_clients(MANY, "automatic");
+fn the_proxy_recovers_with_many_descriptors_and_pushed_lists() {
+    assert_recovery_with_idle_clients(MANY_DESCRIPTORS, "automatic");
 }
 
 #[test]
-fn many_descriptors_suffice_with_polled_lists() {
-    assert_recovery_with_idle_clients(MANY, "subscribe");
+fn the_proxy_recovers_with_many_descriptors_and_polled_lists() {
+    assert_recovery_with_idle_clients(MANY_DESCRIPTORS, "subscribe");
 }
 
 #[test]
-fn fewer_descriptors_than_configured_suffice_with_pushed_lists() {
+fn the_proxy_recovers_with_fewer_descriptors_than_configured_and_pushed_lists() {
     assert_recovery_with_idle_clients(FEWER_THAN_CONFIGURED, "automatic");
 }
 
 #[test]
-fn fewer_descriptors_than_configured_suffice_with_polled_lists() {
+fn the_proxy_recovers_with_fewer_descriptors_than_configured_and_polled_lists() {
     assert_recovery_with_idle_clients(FEWER_THAN_CONFIGURED, "subscribe");
 }
 
-/// Connections that wait in the listener's backlog at a SIGTERM are accepted as others close: all
-/// at once, they would exceed the limit.
+/// Connections that wait in the listener's backlog at SIGTERM are accepted only as others close. If
+/// all were accepted at the same time, they would exceed the limit.
 #[test]
 fn sigterm_accepts_the_backlog_within_the_descriptor_limit() {
     const DESCRIPTOR_LIMIT: usize = 64;
@@ -161,7 +175,8 @@
     config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
     let mut proxy = ProxyProcess::start(&config);
     let connect = |text: &str| Client::connect_and_send(proxy.address, text);
-    // Each of these waits for a response, so that the proxy closes none of them for another.
+    // Each of these clients waits for a response, so that the proxy does not close its connection
+    // in favour of a new one.
     let mut waiting: Vec<Client> = (0..16).map(|_| connect(&request("read", 8000))).collect();
     wait_until("an attempt is sent", || backend.request_count() > 0);
     let idle: Vec<Client> = (0..100).map(|_| connect("")).collect();
@@ -173,7 +188,10 @@
         max_open = max_open.max(proxy.open_descriptors());
         start.elapsed().as_millis() > 800
     });
-    assert!(max_open <= DESCRIPTOR_LIMIT, "{max_open} of 64");
+    assert!(
+        max_open <= DESCRIPTOR_LIMIT,
+        "{max_open} open descriptors of {DESCRIPTOR_LIMIT}"
+    );
     opener.open();
     drop(idle);
     for client in waiting.iter_mut().chain([&mut last]) {
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Updates of the endpoint list: which backends get requests afterwards, and what happens to
-//! invalid or missing ones.
+//! Updates of the endpoint list: which backends get requests after an update, and what the proxy
+//! does when an update is invalid or missing.
 
 mod support;
 
@@ -16,19 +16,25 @@
         a.request_count() > 0 && b.request_count() > 0
     });
     discovery.apply_delta(&[draining("a", a.address)]);
-    wait_until("all connections to a are closed", || is_unused(&a));
+    wait_until("all connections to a are closed", || {
+        has_no_open_connections(&a)
+    });
     let before = a.request_count();
     assert_all_served_by(&proxy, b"b");
     discovery.apply_delta(&[ready("a", a.address), removed("b", b.address)]);
-    wait_until("all connections to b are closed", || is_unused(&b));
+    wait_until("all connections to b are closed", || {
+        has_no_open_connections(&b)
+    });
     assert_all_served_by(&proxy, b"a");
     assert!(a.request_count() >= before + 20);
     discovery.apply_snapshot(&[ready("b", b.address)]);
-    wait_until("all connections to a are closed again", || is_unused(&a));
+    wait_until("all connections to a are closed again", || {
+        has_no_open_connections(&a)
+    });
     assert_all_served_by(&proxy, b"b");
 }
 
-fn is_unused(backend: &FakeBackend) -> bool {
+fn has_no_open_connections(backend: &FakeBackend) -> bool {
     backend.connections_closed() == backend.connections_opened()
 }
 
@@ -39,8 +45,8 @@
     }
 }
 
-/// A backend may begin to drain while the connection to it is being made: not a byte is sent to it
-/// then.
+/// A backend may start draining while the proxy waits for a connection to it to be established. The
+/// proxy must then not send a single byte on the connection.
 #[test]
 fn a_backend_that_drains_during_the_connect_gets_no_request() {
     let backend = SaturatedListener::start();
@@ -60,7 +66,7 @@
 }
 
 #[test]
-fn a_malformed_endpoint_list_is_rejected_and_the_previous_one_stays() {
+fn a_malformed_endpoint_list_is_rejected_and_the_previous_one_stays_in_use() {
     let backend = FakeBackend::responding_ok("x");
     let (proxy, discovery) = start_proxy_with(&[("a", &backend)]);
     let incomplete = json!({"index": 9, "snapshot": true, "endpoints": [{"name": "b"}]});
@@ -75,15 +81,15 @@
         assert_eq!(response.status(), 200, "after {body}");
     }
     discovery.apply_snapshot(&[draining("a", backend.address)]);
-    wait_until("the valid list after them is applied", || {
+    wait_until("the valid list after the malformed ones is applied", || {
         proxy.readiness_status() == 503
     });
 }
 
-/// A discovery service that takes polls and never responds: the proxy serves from what it knows,
-/// and polls again.
+/// If the discovery service accepts polls and never responds, the proxy keeps serving with the
+/// endpoint list that it has, and polls again.
 #[test]
-fn an_unresponsive_discovery_service_does_not_block_the_watch() {
+fn the_proxy_serves_and_polls_again_if_discovery_never_responds() {
     let backend = FakeBackend::responding_ok("x");
     let (proxy, discovery) = start_proxy_with(&[("a", &backend)]);
     wait_until("the proxy polls again after a poll has timed out", || {
@@ -93,10 +99,10 @@
     assert_eq!(proxy.readiness_status(), 200);
 }
 
-/// Where lists must be polled for, the watch begins when the balancer asks for it, and again after
-/// each failure.
+/// In the mode `subscribe`, the proxy polls only when the balancer requests it. The balancer must
+/// request a poll at the start and again after each failed poll.
 #[test]
-fn the_watch_starts_again_after_a_failed_poll() {
+fn the_proxy_polls_again_after_a_failed_poll() {
     let backend = FakeBackend::responding_ok("x");
     let discovery = FakeDiscovery::start();
     let mut config = proxy_config(discovery.address, &[draining("a", free_address())]);
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! The way of a request to a backend and of its response to the client, up to its deadline.
+//! Forwarding of requests to backends and of responses to clients, up to the request's deadline.
 
 mod support;
 
@@ -30,25 +30,26 @@
     );
 }
 
-/// A good response is forwarded whatever comes with it, and bytes behind it belong to no request.
+/// A successful response is forwarded even if unknown headers or 1xx responses come with it. Bytes
+/// that follow it must not be forwarded as the response to another request.
 #[test]
-fn bytes_behind_a_response_are_not_taken_for_another_one() {
-    let next = AtomicUsize::new(0);
+fn bytes_after_a_response_are_not_forwarded_as_another_response() {
+    let next_number = AtomicUsize::new(0);
     let backend = FakeBackend::start(move |_| {
-        let number = next.fetch_add(1, Ordering::SeqCst);
-        let good = |headers: &str| {
+        let number = next_number.fetch_add(1, Ordering::SeqCst);
+        let ok_with_headers = |headers: &str| {
             format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: 2\r\n\r\n{number:02}")
         };
         Reply::Respond(match number % 5 {
-            0 => good("") + &good(""),
-            1 => good("") + "noise\r\n\r\n",
-            2 => good("X-Backend-Load: TEXT =,=\r\n"),
+            0 => ok_with_headers("") + &ok_with_headers(""),
+            1 => ok_with_headers("") + "noise\r\n\r\n",
+            2 => ok_with_headers("X-Backend-Load: TEXT =,=\r\n"),
             3 => {
                 let informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n\
                                      HTTP/1.1 102 Processing\r\n\r\n";
-                informational.to_string() + &good("")
+                informational.to_string() + &ok_with_headers("")
             }
-            _ => good(""),
+            _ => ok_with_headers(""),
         })
     });
     let (proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
@@ -60,10 +61,10 @@
     assert_eq!(backend.request_count(), 30);
 }
 
-/// The request is at fault, wherever it is sent: it is not retried, nor does it count against the
-/// backend.
+/// The request itself is invalid, so that every backend would reject it. The response is forwarded,
+/// the request is not retried, and the error does not count against the backend.
 #[test]
-fn a_client_error_of_a_backend_is_forwarded() {
+fn a_client_error_of_a_backend_is_forwarded_without_a_retry() {
     let backend = FakeBackend::start(|request| match request.header("x-bad") {
         Some(_) => {
             Reply::Respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\n\r\nbad".into())
@@ -71,7 +72,7 @@
         None => ok_response("x"),
     });
     let (proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
-    assert_reads_succeed(&proxy, 10); // earns a retry budget
+    assert_reads_succeed(&proxy, 10); // adds to the retry budget
     for _ in 0..10 {
         let bad_request = request("read", 7000).replace("Host:", "X-Bad: 1\r\nHost:");
         let response = send_request(&proxy, &bad_request);
@@ -94,8 +95,9 @@
     });
 }
 
-/// The deadline ends attempts as timed out and the balancer decides on the response; the proxy's
-/// own limit on a missing decision is not reached, also where less time is left than a tick.
+/// At the deadline the attempt ends as timed out, and the balancer decides on the response. The
+/// proxy's own fallback, which fails a request that the balancer has not answered, must not be
+/// used, even for a request with less time left than a tick.
 #[test]
 fn the_balancer_decides_on_the_response_at_the_deadline() {
     let backend = FakeBackend::unresponsive();
@@ -110,11 +112,11 @@
         assert!(matches!(status, 502 | 503), "{status}");
     }
     let log = proxy.log();
-    assert!(!log.contains("no answer at its deadline"), "{log}");
+    assert!(!log.contains("did not respond to request"), "{log}");
 }
 
-/// While no backend is ready, the balancer queues a request for as long as a response could still
-/// be in time.
+/// While no backend is ready, the balancer queues a request as long as it could still be answered
+/// in time, and then rejects it.
 #[test]
 fn a_rejection_has_a_retry_after_header() {
     let discovery = FakeDiscovery::start();
