--- a/crates/fleet-simulator/src/args/setups.rs
+++ b/crates/fleet-simulator/src/args/setups.rs
@@ -5,7 +5,7 @@
 use crate::real;
 use crate::simulated::scenario::Scenario;
 use crate::simulated::{self, FaultInjection, WARM_UP_SECS};
-use crate::world::{PEAK_REQUESTS_PER_SECOND, TARGET_BACKENDS, TARGET_PROXIES};
+use crate::topology::{PEAK_REQUESTS_PER_SECOND, TARGET_BACKENDS, TARGET_PROXIES};
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 use std::time::Duration;
--- a/crates/fleet-simulator/src/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The settings document that a deployment gives to its proxies.
 
 use crate::failure::InputError;
-use crate::world::{
+use crate::topology::{
     tenant_name, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MICROS, PEAK_REQUESTS_PER_SECOND,
     SLOW_START_FLOOR, SLOW_START_MICROS, ZONES,
 };
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod report;
 pub mod simulated;
 pub mod soak;
-pub mod world;
+pub mod topology;
--- a/crates/fleet-simulator/src/real/load.rs
+++ b/crates/fleet-simulator/src/real/load.rs
@@ -6,7 +6,7 @@
 use crate::arrivals::arrival_intervals;
 use crate::failure::{Failure, InputError};
 use crate::histogram::new_histogram;
-use crate::world::tenant_name;
+use crate::topology::tenant_name;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::Empty;
--- a/crates/fleet-simulator/src/real/phases.rs
+++ b/crates/fleet-simulator/src/real/phases.rs
@@ -6,7 +6,7 @@
 use super::process::{ProxyProcess, Usage};
 use super::stall::{self, StallMeasurement};
 use crate::failure::Failure;
-use crate::world;
+use crate::topology;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -129,9 +129,9 @@
 
 /// An entry of the endpoint list as JSON, in the form in which discovery sends it.
 pub(super) fn endpoint_json(backend: usize, backends: &Backends, status: &'static str) -> String {
-    let endpoint = world::ListedEndpoint {
+    let endpoint = topology::ListedEndpoint {
         status,
-        ..world::listed_endpoint(backend, backends.address(backend).to_string())
+        ..topology::listed_endpoint(backend, backends.address(backend).to_string())
     };
     json!(endpoint).to_string()
 }
--- a/crates/fleet-simulator/src/real/startup.rs
+++ b/crates/fleet-simulator/src/real/startup.rs
@@ -7,7 +7,7 @@
 use super::setup::Setup;
 use crate::deployment::Deployment;
 use crate::failure::{Failure, MeasurementError};
-use crate::world::{self, TARGET_PROXIES};
+use crate::topology::{self, TARGET_PROXIES};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -101,7 +101,7 @@
 /// The endpoint list in the form in which the configuration of a restarted proxy contains it.
 fn known_list(count: usize, backends: &Backends) -> Value {
     let endpoints: Vec<_> = (0..count)
-        .map(|backend| world::listed_endpoint(backend, backends.address(backend).to_string()))
+        .map(|backend| topology::listed_endpoint(backend, backends.address(backend).to_string()))
         .collect();
     json!({"index": 1, "snapshot": true, "endpoints": endpoints})
 }
--- a/crates/fleet-simulator/src/simulated/backend.rs
+++ b/crates/fleet-simulator/src/simulated/backend.rs
@@ -1,6 +1,6 @@
 //! One simulated backend: its state, its capacity, and the rule by which it rejects attempts.
 
-use crate::world::{self, SLOW_START_FLOOR, SLOW_START_MICROS};
+use crate::topology::{self, SLOW_START_FLOOR, SLOW_START_MICROS};
 use brookstack_balancer::{BackendState, Outcome, Time};
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
     pub state: BackendState,
     /// When it last started; `None` if that is so long ago that the backend is warm.
     pub started_at: Option<Time>,
-    /// Its machine type, as an index into [`world::MACHINE_TYPES`].
+    /// Its machine type, as an index into [`topology::MACHINE_TYPES`].
     pub machine_type: usize,
     /// The number of its current process. An attempt that was sent to an earlier process ends with
     /// a reset.
@@ -34,7 +34,7 @@
         Backend {
             state: BackendState::Ready,
             started_at: None,
-            machine_type: world::placement(backend).machine_type,
+            machine_type: topology::placement(backend).machine_type,
             process: 0,
             in_service: 0,
             load: 0,
--- a/crates/fleet-simulator/src/simulated/backends.rs
+++ b/crates/fleet-simulator/src/simulated/backends.rs
@@ -3,7 +3,7 @@
 use super::backend::{Backend, CORES};
 use super::cold_start::{ColdStartMonitor, ColdStartStatistics};
 use super::messages::{AttemptKey, AttemptResult};
-use crate::world::{self, MACHINE_TYPES};
+use crate::topology::{self, MACHINE_TYPES};
 use brookstack_balancer::{BackendState, Endpoint, Micros, Outcome, Time};
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp1};
@@ -179,7 +179,7 @@
             .enumerate()
             .filter(|(_, backend)| backend.state != BackendState::Removed)
             .map(|(number, backend)| {
-                world::balancer_endpoint(number, backend.state, backend.started_at)
+                topology::balancer_endpoint(number, backend.state, backend.started_at)
             })
             .collect()
     }
--- a/crates/fleet-simulator/src/simulated/cold_start.rs
+++ b/crates/fleet-simulator/src/simulated/cold_start.rs
@@ -2,7 +2,7 @@
 //! ones.
 
 use super::backend::{Backend, CORES};
-use crate::world::{MACHINE_TYPES, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MICROS};
+use crate::topology::{MACHINE_TYPES, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MICROS};
 use brookstack_balancer::{BackendState, Micros, Time};
 use serde::Serialize;
 
--- a/crates/fleet-simulator/src/simulated/fleet/first_list.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/first_list.rs
@@ -2,7 +2,7 @@
 
 use crate::failure::InputError;
 use crate::simulated::context::BackendIndex;
-use crate::world::{self, ZONES};
+use crate::topology::{self, ZONES};
 use brookstack_balancer::{BackendState, Endpoint};
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 
 impl FirstList {
     pub(super) fn new(backends: usize, hidden_percent: usize) -> FirstList {
-        let endpoint = |backend| world::balancer_endpoint(backend, BackendState::Ready, None);
+        let endpoint = |backend| topology::balancer_endpoint(backend, BackendState::Ready, None);
         FirstList {
             endpoints: Arc::new((0..backends).map(endpoint).collect()),
             hidden_percent,
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -3,7 +3,7 @@
 use super::backend::Backend;
 use super::proxy::connections::ConnectionCounts;
 use super::proxy::Proxy;
-use crate::world::MACHINE_TYPES;
+use crate::topology::MACHINE_TYPES;
 use serde::Serialize;
 
 /// The lower bound of divisors, so that a division by a mean of zero stays finite.
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -3,7 +3,7 @@
 
 use super::timeline::{BackendChange, Outage};
 use crate::histogram::{millis, new_histogram_up_to, quantile_ms};
-use crate::world;
+use crate::topology;
 use brookstack_balancer::{BackendState, Endpoint, Micros, Time};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -156,7 +156,7 @@
         let mut newest: BTreeMap<u32, Endpoint> = BTreeMap::new();
         for change in &self.changes[known_changes..] {
             let number = change.backend as usize;
-            let endpoint = world::balancer_endpoint(number, change.state, change.started_at);
+            let endpoint = topology::balancer_endpoint(number, change.state, change.started_at);
             newest.insert(change.backend, endpoint);
         }
         newest.into_values().collect()
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -3,7 +3,7 @@
 
 use super::context::MeasurementWindow;
 use super::timeline::{BackendChange, Outage, Timeline};
-use crate::world::ZONES;
+use crate::topology::ZONES;
 use brookstack_balancer::{BackendState, Micros, Time};
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -5,7 +5,7 @@
 use brookstack_fleet_simulator::simulated::load::{largest_by_chance, CountRange};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
-use brookstack_fleet_simulator::world::{backend_name, placement, MACHINE_TYPES, ZONES};
+use brookstack_fleet_simulator::topology::{backend_name, placement, MACHINE_TYPES, ZONES};
 use std::collections::BTreeSet;
 
 #[test]
