--- a/crates/fleet-simulator/src/soak/mod.rs
+++ b/crates/fleet-simulator/src/soak/mod.rs
@@ -3,7 +3,7 @@
 //! list, and checks the operators' rules on these records.
 //!
 //! - `plan` draws the parameters, faults and signals of a run from its seed;
-//! - `world` starts the stand-ins and the proxies, and waits until the run has ended;
+//! - `execution` starts the stand-ins and the proxies, and waits until the run has ended;
 //! - `clients`, `backends` and `discovery` are the stand-ins;
 //! - `proxies` starts, signals and monitors the proxy processes;
 //! - `http` reads the HTTP messages of the stand-ins;
@@ -14,12 +14,12 @@
 mod checks;
 mod clients;
 mod discovery;
+mod execution;
 mod http;
 pub mod plan;
 mod proxies;
 mod records;
 pub mod report;
-mod world;
 
 use crate::failure::Failure;
 use plan::Plan;
@@ -85,7 +85,7 @@
         .enable_all()
         .build()
         .map_err(Failure::in_step("starting the threads of the stand-ins"))?;
-    let records = runtime.block_on(world::run(proxy, &plan))?;
+    let records = runtime.block_on(execution::run(proxy, &plan))?;
     runtime.shutdown_background();
     Ok(RunReport::new(plan, &records))
 }
