--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -3,7 +3,7 @@
 use brookstack_fleet_simulator::args::{AllArgs, Cli, Command, FleetArgs, RealArgs, SoakArgs};
 use brookstack_fleet_simulator::failure::Failure;
 use brookstack_fleet_simulator::real::cell::Cell;
-use brookstack_fleet_simulator::simulated::figures::FleetResults;
+use brookstack_fleet_simulator::simulated::results::FleetResults;
 use brookstack_fleet_simulator::simulated::{self, Cost, FleetRun};
 use brookstack_fleet_simulator::soak::{self, SoakSetup};
 use brookstack_fleet_simulator::{real, report};
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -3,7 +3,7 @@
 
 use super::real_table::cpu_wait;
 use crate::real::cell::Cell;
-use crate::simulated::figures::FleetResults;
+use crate::simulated::results::FleetResults;
 use crate::simulated::FleetRun;
 
 /// The time within which a restarted proxy has to be ready, s.
--- a/crates/fleet-simulator/src/simulated/checks.rs
+++ b/crates/fleet-simulator/src/simulated/checks.rs
@@ -1,6 +1,6 @@
 //! The checks that the results of every fleet have to pass.
 
-use super::figures::{Check, FleetResults};
+use super::results::{Check, FleetResults};
 
 /// The smallest fraction of the requests that has to be served.
 const MIN_SERVED_FRACTION: f64 = 0.98;
--- a/crates/fleet-simulator/src/simulated/fleet/recorder.rs
+++ b/crates/fleet-simulator/src/simulated/fleet/recorder.rs
@@ -2,8 +2,8 @@
 
 use crate::histogram::new_histogram;
 use crate::simulated::context::MeasurementWindow;
-use crate::simulated::figures::LateAttempts;
 use crate::simulated::propagation::Lateness;
+use crate::simulated::results::LateAttempts;
 use brookstack_balancer::{Micros, Time};
 use hdrhistogram::Histogram;
 
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -91,7 +91,7 @@
         faults: FaultInjection::default(),
     };
     let mut results = simulated::run(&setup, 1).expect("a valid setup").results;
-    let failed = |results: &simulated::figures::FleetResults| -> Vec<&'static str> {
+    let failed = |results: &simulated::results::FleetResults| -> Vec<&'static str> {
         checks(results)
             .iter()
             .filter(|check| !check.passed)
--- a/crates/fleet-simulator/tests/fleet.rs
+++ b/crates/fleet-simulator/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Tests with a small simulated fleet: its results depend only on its setup, and each check fails
 //! if the fault that it has to detect is injected.
 
-use brookstack_fleet_simulator::simulated::figures::{Check, FleetResults};
+use brookstack_fleet_simulator::simulated::results::{Check, FleetResults};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
 
