--- a/crates/fleet-simulator/src/args.rs
+++ b/crates/fleet-simulator/src/args.rs
@@ -29,8 +29,8 @@
     Fleet(FleetArgs),
     /// Runs a fixed matrix of `real` and `fleet`, and prints a table for each.
     All(AllArgs),
-    /// Checks the operators' rules on real proxies under faults. The seed of a run determines its
-    /// faults.
+    /// Runs real proxies with injected faults, and checks that they keep the operators' rules. The
+    /// seed of a run determines its faults.
     Soak(SoakArgs),
 }
 
@@ -40,7 +40,7 @@
     /// Path of the proxy program.
     #[arg(long, default_value = "target/release/brookstack-proxy")]
     pub proxy: PathBuf,
-    /// Number of runs. Each has its own seed.
+    /// Number of seeds, including those to skip. There is one run per seed.
     #[arg(long, default_value_t = 50)]
     pub seeds: u64,
     /// Seed of the first run. Each further run has the next higher seed.
@@ -82,7 +82,7 @@
     /// Number of listeners that the backends share.
     #[arg(long, default_value_t = 256)]
     pub listeners: usize,
-    /// Requests per second.
+    /// Requests per second, on average.
     #[arg(long, default_value_t = 70.0)]
     pub rate: f64,
     /// Service time of a request at a backend, ms.
@@ -94,7 +94,8 @@
     /// Duration of the load phase, s. New connections are reported for each half of it.
     #[arg(long, default_value_t = 120.0)]
     pub load_secs: f64,
-    /// Idle timeout of backend connections, s.
+    /// Time after which backends close an idle connection, s, as set in the proxy's settings. The
+    /// proxy closes it after 75 % of this time.
     #[arg(long, default_value_t = 30.0)]
     pub conn_idle_secs: f64,
     /// Number of cells that run concurrently. Each needs about half a core.
@@ -135,17 +136,19 @@
     /// Simulated time, s, of which the first 4 s are not measured.
     #[arg(long, default_value_t = 24.0)]
     pub secs: f64,
-    /// Time that discovery takes to serve a call, ms. By default, it can serve one call of each
-    /// proxy within 6.5 s.
+    /// Time that discovery takes to serve a call, ms. By default, it takes 6.5 s to serve one call
+    /// of each proxy.
     #[arg(long)]
     pub call_ms: Option<f64>,
     /// Backends that are replaced per second in the scenario `calm`.
     #[arg(long, default_value_t = 0.2)]
     pub churn: f64,
-    /// Number of backends in the rack that fails. By default, one in 425 backends, but at least 4.
+    /// Number of backends in the rack that fails in the scenarios `cold` and `rebirth`. By default,
+    /// one in 425 backends, but at least 4.
     #[arg(long)]
     pub rack: Option<usize>,
-    /// Idle timeout of backend connections, s.
+    /// Time after which backends close an idle connection, s, as set in the proxies' settings. The
+    /// proxies close it after 75 % of this time.
     #[arg(long, default_value_t = 30.0)]
     pub conn_idle_secs: f64,
     /// By how much the balancer's objective decreases if every request crosses zones once.
@@ -171,7 +174,7 @@
     /// Path of the proxy program.
     #[arg(long, default_value = "target/release/brookstack-proxy")]
     pub proxy: PathBuf,
-    /// Number of threads of a fleet, and of cells of the real proxy that run concurrently.
+    /// Number of threads per fleet, and number of cells of the real proxy that run concurrently.
     #[arg(long, default_value_t = 3)]
     pub threads: usize,
     /// Seed of the random number generators.
--- a/crates/fleet-simulator/src/args/matrix.rs
+++ b/crates/fleet-simulator/src/args/matrix.rs
@@ -69,9 +69,9 @@
         }
     }
 
-    /// The options for each fleet. The fleet of the target's size runs only one scenario, for a
-    /// short time, because it is slow; smaller fleets run all scenarios. The largest fleet is
-    /// first, because only the first run of a process reports its memory.
+    /// The options for each fleet. The largest fleet is slow, so it runs only one scenario, for a
+    /// short time; smaller fleets run all scenarios. The largest fleet is first, because only the
+    /// first run of a process reports its memory.
     pub fn fleets(&self) -> Vec<FleetArgs> {
         let sizes = self.fleet_sizes();
         sizes.into_iter().map(|size| self.fleet(size)).collect()
--- a/crates/fleet-simulator/src/args/setups.rs
+++ b/crates/fleet-simulator/src/args/setups.rs
@@ -70,7 +70,7 @@
 /// Checks the value of an option that is a rate, in requests per second.
 fn rate(option: &'static str, per_second: f64, max: f64) -> Result<f64, InputError> {
     let is_valid = per_second > 0.0 && per_second <= max;
-    let expected = format!("over 0 up to {max} a second");
+    let expected = format!("over 0 and up to {max} requests per second");
     require(is_valid, option, expected, per_second)?;
     Ok(per_second)
 }
@@ -128,15 +128,10 @@
     }
 
     fn check_program(&self) -> Result<(), InputError> {
-        require(
-            self.proxy.is_file(),
-            "proxy",
-            "the path of the built proxy program",
-            format_args!(
-                "{}, which is not a file; build the proxy first",
-                self.proxy.display()
-            ),
-        )
+        if self.proxy.is_file() {
+            return Ok(());
+        }
+        Err(InputError::proxy_is_not_a_file(&self.proxy))
     }
 
     fn setup(&self, backends: usize, tenants: usize) -> Result<real::Setup, InputError> {
--- a/crates/fleet-simulator/src/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
-    /// From an agent that runs beside the proxy and holds the list.
+    /// From an agent beside the proxy, which pushes changes to it.
     Automatic,
     /// From a central service, which the proxy polls and watches.
     Subscribe,
@@ -31,7 +31,7 @@
     pub tenant_count: usize,
     /// How proxies get the endpoint list.
     pub mode: DiscoveryMode,
-    /// The idle timeout of backend connections, s.
+    /// The time after which backends close an idle connection, s.
     pub connection_idle_secs: f64,
     /// The setting `costs.cross_zone`: by how much the balancer's objective decreases if every
     /// request crosses zones once.
@@ -103,7 +103,7 @@
     })
 }
 
-/// The `rules` section: how backends warm up, and how soon a proxy has to make its first call to
+/// The `rules` section: how backends warm up, and the time within which a proxy has to poll
 /// discovery.
 fn warm_up_rules() -> Value {
     json!({
--- a/crates/fleet-simulator/src/failure.rs
+++ b/crates/fleet-simulator/src/failure.rs
@@ -4,7 +4,7 @@
 use brookstack_balancer::ConfigError;
 use std::error::Error as StdError;
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 use thiserror::Error;
@@ -26,7 +26,7 @@
     /// The command ran to its end, but some of the checks on its results failed.
     #[error("{count} checks failed")]
     ChecksFailed {
-        /// The number of failed checks.
+        /// The number of failed checks. For `soak`, the number of runs that broke a rule.
         count: usize,
     },
 }
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Returns a function that wraps the error of a step of a measurement, for `map_err`.
+    /// Returns a function for `map_err` that adds to an error the step in which it occurred.
     pub fn in_step<E>(step: &'static str) -> impl FnOnce(E) -> Failure
     where
         E: Into<Box<dyn StdError + Send + Sync>>,
@@ -106,6 +106,20 @@
     },
 }
 
+impl InputError {
+    /// The error for a `--proxy` that is not the path of a file.
+    pub fn proxy_is_not_a_file(program: &Path) -> InputError {
+        InputError::Option {
+            option: "proxy",
+            expected: "the path of the built proxy program".into(),
+            got: format!(
+                "{}, which is not a file; build the proxy first",
+                program.display()
+            ),
+        }
+    }
+}
+
 /// Why a measurement could not be made.
 #[derive(Debug, Error)]
 pub enum MeasurementError {
--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -125,7 +125,8 @@
     }
 }
 
-/// Prints the failed checks. Returns an error if there are any, so that the command fails.
+/// Prints the failed checks, or for `soak` the failed runs. Returns an error if there are any, so
+/// that the command fails.
 fn report_failed_checks(failed: &[String]) -> Result<(), Failure> {
     for line in failed {
         println!("check failed: {line}");
--- a/crates/fleet-simulator/src/real/cell.rs
+++ b/crates/fleet-simulator/src/real/cell.rs
@@ -88,7 +88,7 @@
     pub list_bytes: u64,
     /// Bytes per second while the list does not change.
     pub idle_bytes_per_s: f64,
-    /// Bytes per change of one entry, including those of the call that follows.
+    /// Bytes per change of one entry. Includes all responses during the probes with changes.
     pub change_bytes: f64,
     /// The total number of calls.
     pub discovery_calls: u64,
@@ -97,12 +97,12 @@
 /// The counts of requests and connections under the load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RequestStatistics {
-    /// Requests that backends received.
+    /// Requests that backends received, counting each attempt of a client's request.
     #[serde(rename = "requests")]
     pub forwarded: u64,
     /// Requests that did not get status 200, by the reason.
     pub not_served: NotServed,
-    /// New connections to backends per request, in each half of the load.
+    /// New connections to backends per request that a backend received, in each half of the load.
     #[serde(rename = "new_connections")]
     pub new_connections_per_request: [f64; 2],
 }
--- a/crates/fleet-simulator/src/real/phases.rs
+++ b/crates/fleet-simulator/src/real/phases.rs
@@ -44,7 +44,7 @@
     pub(super) without_event: StallMeasurement,
     pub(super) change: StallMeasurement,
     pub(super) snapshot: StallMeasurement,
-    /// The bytes that discovery wrote per change of one entry.
+    /// The bytes that discovery wrote during the probes with changes, per change of one entry.
     pub(super) change_bytes: f64,
 }
 
--- a/crates/fleet-simulator/src/real/setup.rs
+++ b/crates/fleet-simulator/src/real/setup.rs
@@ -30,8 +30,8 @@
     pub idle_duration: Duration,
     /// The duration of the load phase, which consists of two equal halves.
     pub load_duration: Duration,
-    /// The time after which the proxy closes an idle connection, s. This is its setting
-    /// `limits.conn_idle_us`, converted to seconds.
+    /// The setting `limits.conn_idle_us` of the proxy, converted to seconds: the time after which
+    /// backends close an idle connection. The proxy closes it after 75 % of this time.
     pub connection_idle_secs: f64,
     /// The seed of the random arrival times and tenants.
     pub seed: u64,
--- a/crates/fleet-simulator/src/real/stall.rs
+++ b/crates/fleet-simulator/src/real/stall.rs
@@ -12,21 +12,19 @@
 pub(super) const EVENTS: usize = 5;
 /// The time between events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(600);
-/// The stall of an event is the longest round trip that overlaps with this time span after the
-/// event.
+/// The time after an event in which its stall is measured.
 const STALL_WINDOW: Duration = Duration::from_millis(400);
 /// How long probes are sent around the events of one kind. This is a little longer than all
 /// [`EVENTS`] take.
 pub(super) const PROBE_SPAN: Duration = Duration::from_millis(3_600);
 
-/// Statistics of the stalls around the events of one kind: of the longest round trip of a probe for
-/// each event.
+/// Statistics of the stalls after the events of one kind. The stall of an event is the longest
+/// round trip of a probe that overlaps with the 400 ms after the event.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Stall {
-    /// The median of the longest round trips, ms.
+    /// The median stall, ms.
     pub median_ms: f64,
-    /// The maximum of the longest round trips, ms. On a shared machine, it may be caused by other
-    /// programs.
+    /// The longest stall, ms. On a shared machine, it may be caused by other programs.
     pub longest_ms: f64,
 }
 
--- a/crates/fleet-simulator/src/report/failures.rs
+++ b/crates/fleet-simulator/src/report/failures.rs
@@ -8,8 +8,8 @@
 
 /// The time within which a restarted proxy has to be ready, s.
 const MAX_READY_SECS: f64 = 10.0;
-/// The longest CPU wait of an undisturbed cell, in % of the time. The times and stalls of a cell
-/// whose proxy waited longer for a core show the other load on the machine.
+/// The longest CPU wait of an undisturbed cell, in % of the time. If the proxy of a cell waited
+/// longer for a core, the measured times and stalls show the effect of other load on the machine.
 const MAX_CPU_WAIT_PERCENT: f64 = 1.0;
 
 /// The failed checks of the cells, one line each. Rejected and slow requests fail no check, because
--- a/crates/fleet-simulator/src/simulated/backends.rs
+++ b/crates/fleet-simulator/src/simulated/backends.rs
@@ -28,7 +28,7 @@
     pub connect_failed: u64,
     /// Attempts whose backend process ended before they were served.
     pub reset: u64,
-    /// Attempts that the proxy cancelled, including those that timed out.
+    /// Attempts that the proxy cancelled, that timed out, or whose proxy restarted.
     #[serde(rename = "withdrawn")]
     pub cancelled: u64,
 }
--- a/crates/fleet-simulator/src/simulated/load.rs
+++ b/crates/fleet-simulator/src/simulated/load.rs
@@ -79,9 +79,9 @@
 pub struct LoadStatistics {
     /// The length of the window, s.
     pub window_secs: f64,
-    /// The ratio of the largest load to the mean load, over the backends of all machine types. Fast
-    /// machine types get more attempts than slow ones, so the ratio is above 1 even if the load of
-    /// each machine type is even.
+    /// The ratio of the largest load to the mean load, over all backends that the scenario did not
+    /// change. Fast machine types get more attempts than slow ones, so the ratio is above 1 even if
+    /// the load of each machine type is even.
     pub largest_over_mean: f64,
     /// The load of each machine type, in the order of [`MACHINE_TYPES`].
     #[serde(rename = "kinds")]
--- a/crates/fleet-simulator/src/simulated/propagation.rs
+++ b/crates/fleet-simulator/src/simulated/propagation.rs
@@ -32,10 +32,10 @@
     AfterDeadline,
 }
 
-/// A notification of a proxy, after which the proxy knows the first `known_changes` changes.
+/// A notification of a proxy. The list at the start of a process counts as its first one.
 #[derive(Clone, Copy, Debug)]
 struct Notification {
-    /// The number of changes that the proxy knew from then on.
+    /// The proxy knew this number of changes from then on: the first ones of the log.
     known_changes: usize,
     at: Time,
 }
@@ -63,7 +63,8 @@
         }
     }
 
-    /// When it was notified of a change; `None` if it was not.
+    /// When it was notified of a change, or when it started if its first list contained the change.
+    /// `None` if it does not know the change.
     fn notified_at(&self, change: usize) -> Option<Time> {
         let position = self
             .notifications
@@ -74,6 +75,9 @@
 
 /// Statistics of how long changes took to reach proxies, over all pairs of a proxy and a change.
 ///
+/// Each process of a proxy counts as a proxy. Changes that are in the first list of a process, and
+/// those of which it was not notified before it ended in a restart, are not counted.
+///
 /// The delay of a pair starts when discovery has the change and the process of the proxy can reach
 /// discovery. It ends when the proxy is notified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
--- a/crates/fleet-simulator/src/simulated/proxy/connections.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/connections.rs
@@ -1,5 +1,5 @@
-//! The connections of one proxy. There is one to each backend that it has used, which stays open
-//! until it exceeds the idle timeout.
+//! The connections of one proxy. The proxy keeps one connection to each backend that it has used,
+//! until the connection exceeds the idle timeout or an attempt shows that the backend has ended.
 
 use crate::simulated::context::SharedContext;
 use brookstack_balancer::Time;
--- a/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
@@ -13,7 +13,7 @@
     /// Requests that the balancer rejected. The client may safely retry these.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests that the balancer failed.
+    /// Requests that the balancer answered with a failure.
     pub failed: u64,
     /// Requests to which the balancer gave no final response in time.
     pub unanswered: u64,
--- a/crates/fleet-simulator/src/simulated/results.rs
+++ b/crates/fleet-simulator/src/simulated/results.rs
@@ -65,14 +65,15 @@
     pub setup: Setup,
     /// The number of requests by outcome.
     pub requests: RequestCounts,
-    /// The number of requests that were still open at the end.
+    /// The number of requests without a final response at the end of the run.
     pub open_at_end: u64,
-    /// The median latency of served requests, from arrival to response, ms.
+    /// The median latency of requests that were served in the measurement window, from arrival to
+    /// response, ms.
     pub latency_p50_ms: f64,
     /// The 99th percentile of the latency, ms.
     pub latency_p99_ms: f64,
-    /// The median queue delay, from the arrival of a request to its first attempt, ms. It includes
-    /// the wait for the next tick, which is up to 5 ms.
+    /// The median queue delay in the measurement window, from the arrival of a request to its first
+    /// attempt, ms. It includes the wait for the next tick, which is up to 5 ms.
     #[serde(rename = "held_p50_ms")]
     pub queue_delay_p50_ms: f64,
     /// The 99th percentile of the queue delay, ms.
--- a/crates/fleet-simulator/src/simulated/setup.rs
+++ b/crates/fleet-simulator/src/simulated/setup.rs
@@ -63,7 +63,7 @@
     #[serde(rename = "rack")]
     pub rack_size: usize,
     /// The setting `limits.conn_idle_us` of the proxies, converted to seconds: the time after which
-    /// an idle connection is closed.
+    /// backends close an idle connection. The proxies close it after 75 % of this time.
     #[serde(rename = "conn_idle_secs")]
     pub connection_idle_secs: f64,
     /// By how much the balancer's objective decreases if every request crosses zones once.
--- a/crates/fleet-simulator/src/soak/checks.rs
+++ b/crates/fleet-simulator/src/soak/checks.rs
@@ -11,16 +11,17 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// A proxy that polls counts as notified of a change at the latest this long after discovery has
-/// the change and can be reached, s.
+/// A proxy that polls should know a change at the latest this long after discovery has the change
+/// and can be reached, s.
 const NOTIFICATION_SECS: f64 = 6.0;
-/// A proxy to which an agent pushes changes counts as notified at the latest this long after
+/// A proxy to which an agent pushes changes should know a change at the latest this long after
 /// discovery has the change and can be reached, s. Zero means without delay.
 const PUSH_NOTIFICATION_SECS: f64 = 0.0;
 /// The limit that replaces [`PUSH_NOTIFICATION_SECS`] if a SIGHUP changes the proxy's discovery
 /// address less than this time before or after discovery has the change and can be reached, s.
 const DISCOVERY_MOVE_SECS: f64 = 4.0;
-/// Attempts to a draining or gone backend have to stop within this time after the notification, s.
+/// Attempts to a draining or gone backend have to stop within this time after the proxy should know
+/// the change, s.
 const DRAIN_GRACE_SECS: f64 = 0.5;
 /// The latest time after its client has left at which an attempt may begin, s.
 const CLIENT_LEFT_GRACE_SECS: f64 = 0.1;
@@ -42,8 +43,8 @@
     AnsweredOnce,
     /// A client gets the response to its own request.
     OwnResponse,
-    /// No attempt is sent to a draining or gone backend after the grace period that follows the
-    /// notification.
+    /// No attempt is sent to a draining or gone backend once the proxy should know that state and
+    /// the grace period is over.
     Drain,
     /// A non-idempotent request is executed at most once.
     SingleExecution,
@@ -62,7 +63,8 @@
 pub struct Violation {
     /// The rule that was broken.
     pub rule: Rule,
-    /// When it was broken, in seconds since the start of the run.
+    /// When it was broken, in seconds since the start of the run. For a rule on processes, this is
+    /// the start of the process. For surplus bytes after a response, it is 0.
     pub at: f64,
     /// The correlation id of the request, if the violation concerns a single request.
     pub request: Option<String>,
@@ -197,7 +199,8 @@
     /// Whether the proxy has read a request whose connection it closed. This is not known for a
     /// request on a reused connection: the proxy may have closed the idle connection while the
     /// request was on its way. A new connection may be closed unread by a proxy that shuts down or
-    /// has no free file descriptors.
+    /// has no free file descriptors. In these cases, the request counts as not read unless a
+    /// backend received an attempt of it.
     fn was_read(&self, request: &RequestRecord) -> bool {
         if !self.attempts_of(&request.id).is_empty() {
             return true;
@@ -287,14 +290,14 @@
             change.backend == attempt.backend && change.at <= attempt.first_byte_at
         });
         let change = changes.find(|change| {
-            let notified_at = self.notified_at(attempt.proxy, change);
-            let is_after_limit = attempt.first_byte_at > notified_at + limit;
+            let should_know_at = self.should_know_at(attempt.proxy, change);
+            let is_after_limit = attempt.first_byte_at > should_know_at + limit;
             !change.is_ready && is_after_limit && !self.is_ready_again(attempt, change)
         })?;
-        let after = attempt.first_byte_at - self.notified_at(attempt.proxy, change);
+        let after = attempt.first_byte_at - self.should_know_at(attempt.proxy, change);
         let what = format!(
-            "proxy {} sent an attempt to backend {} {after:.3} s after the notification that the \
-             backend is unavailable (list version {} at {:.3} s)",
+            "proxy {} sent an attempt to backend {} {after:.3} s after it should have known that \
+             the backend is unavailable (list version {} at {:.3} s)",
             attempt.proxy, attempt.backend, change.version, change.at
         );
         Some(Violation::of_request(
@@ -328,9 +331,9 @@
         times.min_by(f64::total_cmp)
     }
 
-    /// When a proxy counts as notified of a change: when a list with the change was first written
-    /// to it, or at the end of the allowed delay, whichever is earlier.
-    fn notified_at(&self, proxy: usize, change: &ListChange) -> f64 {
+    /// When a proxy should know a change: when a list with the change was first written to it, or
+    /// at the end of the allowed delay, whichever is earlier.
+    fn should_know_at(&self, proxy: usize, change: &ListChange) -> f64 {
         let reachable_at = match self.plan.discovery_fault {
             Some((_, span)) if span.contains(change.at) => span.to,
             _ => change.at,
--- a/crates/fleet-simulator/src/soak/discovery.rs
+++ b/crates/fleet-simulator/src/soak/discovery.rs
@@ -315,7 +315,8 @@
     }
 }
 
-/// The cell of a backend. Two backends of the same zone form a cell.
+/// The cell of a backend, which the endpoint list contains as `group`. Two backends of the same
+/// zone form a cell.
 pub fn cell(backend: usize) -> usize {
     backend / (2 * ZONES.len()) * ZONES.len() + backend % ZONES.len()
 }
--- a/crates/fleet-simulator/src/soak/proxies.rs
+++ b/crates/fleet-simulator/src/soak/proxies.rs
@@ -22,9 +22,9 @@
 /// The load balancer in front goes on sending new connections to a proxy for this time after
 /// SIGTERM, s.
 const NEW_CONNECTIONS_AFTER_SIGTERM_SECS: f64 = 0.3;
-/// The time from the end of the longest deadline after SIGTERM until SIGKILL, s.
+/// SIGKILL follows SIGTERM after the longest deadline of a client plus this time, s.
 const KILL_DELAY_SECS: f64 = 0.7;
-/// The upper limit on the deadline that SIGKILL waits for, s.
+/// The upper limit on the deadline in the time between SIGTERM and SIGKILL, s.
 const MAX_KILL_DEADLINE_SECS: f64 = 3.0;
 /// The pause between the end of a process and the start of the next one, s.
 const RESTART_DELAY_SECS: f64 = 0.1;
@@ -402,9 +402,5 @@
     if program.is_file() {
         return Ok(());
     }
-    Err(InputError::Option {
-        option: "proxy",
-        expected: "the file of the built proxy".into(),
-        got: program.display().to_string(),
-    })
+    Err(InputError::proxy_is_not_a_file(program))
 }
--- a/crates/fleet-simulator/src/topology.rs
+++ b/crates/fleet-simulator/src/topology.rs
@@ -9,7 +9,8 @@
 pub const ZONES: [&str; 8] = [
     "r1-a", "r1-b", "r1-c", "r2-a", "r2-b", "r2-c", "r3-a", "r3-b",
 ];
-/// The number of backends per group. All backends of a group are in the same zone.
+/// The number of backends per group. All backends of a group are in the same zone. The balancer
+/// calls a group a cell.
 const GROUP_SIZE: usize = 4;
 /// The peak rate of the target deployment, in requests per second over all proxies.
 pub const PEAK_REQUESTS_PER_SECOND: f64 = 76_000.0;
@@ -20,7 +21,8 @@
 
 /// The fraction of its full capacity that a backend has at its start.
 pub const SLOW_START_FLOOR: f64 = 0.3;
-/// A backend that is warming up fails if its load exceeds this multiple of its current capacity.
+/// In the target deployment, a backend that is warming up fails if its load exceeds this multiple
+/// of its current capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// The time from the start of a backend until it has its full capacity, us.
 pub const SLOW_START_MICROS: u64 = 9_000_000;
@@ -107,7 +109,7 @@
 /// An entry of the endpoint list in the JSON format of discovery.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListedEndpoint {
-    /// The backend's name, the same at every proxy.
+    /// The backend's name, the same in the lists of all proxies.
     pub name: String,
     /// The address that it listens on.
     pub address: String,
