--- a/crates/fleet-simulator/src/args.rs
+++ b/crates/fleet-simulator/src/args.rs
@@ -12,7 +12,7 @@
 /// Capacity and soak tests: resource use of one real proxy, the joint behavior of many simulated
 /// proxies, and real proxies under injected faults.
 #[derive(Debug, Parser)]
-#[command(version, about)]
+#[command(version)]
 pub struct Cli {
     /// What to run.
     #[command(subcommand)]
@@ -22,10 +22,10 @@
 /// What to run.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Measures a real proxy, with stand-ins for discovery, backends and clients. Measures one cell
-    /// for each combination of the numbers of backends and tenants.
+    /// Measures a real proxy, with stand-ins for discovery, backends and clients. Each combination
+    /// of a number of backends and a number of tenants is one cell of a matrix, with its own proxy.
     Real(RealArgs),
-    /// Runs simulated proxies on a simulated clock.
+    /// Runs simulated proxies on a simulated clock, and checks their joint behavior.
     Fleet(FleetArgs),
     /// Runs a fixed matrix of `real` and `fleet`, and prints a table for each.
     All(AllArgs),
--- a/crates/fleet-simulator/src/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -53,7 +53,7 @@
             "my_zone": ZONES[self.proxy_index as usize % ZONES.len()],
             "over_share_worth": 0.1,
             "profiles": [read_class()],
-            "rules": warm_up_rules(),
+            "rules": slow_start_rules(),
             "weight_source": "rough",
             "zones": ZONES,
         })
@@ -88,7 +88,7 @@
     }
 }
 
-/// The profile of the only service class. Its requests are idempotent.
+/// The profile of the only traffic class. Its requests are idempotent.
 fn read_class() -> Value {
     json!({
         "name": "read",
@@ -103,9 +103,9 @@
     })
 }
 
-/// The `rules` section: how backends warm up, and the time within which a proxy has to poll
+/// The `rules` section: the slow start of backends, and the time within which a proxy has to poll
 /// discovery.
-fn warm_up_rules() -> Value {
+fn slow_start_rules() -> Value {
     json!({
         "cold_from": SLOW_START_FLOOR,
         "fall_multiple": OVERLOAD_MULTIPLE,
--- a/crates/fleet-simulator/src/report/fleet_table.rs
+++ b/crates/fleet-simulator/src/report/fleet_table.rs
@@ -7,76 +7,76 @@
 const COLUMNS: [Column<FleetRun>; 18] = [
     Column {
         title: "proxies x backends",
-        cell: size,
+        text: size,
     },
     Column {
         title: "scenario",
-        cell: |run| run.results.setup.scenario.name(),
+        text: |run| run.results.setup.scenario.name(),
     },
     Column {
         title: "requests (per second and proxy)",
-        cell: arrived_requests,
+        text: arrived_requests,
     },
     Column {
         title: "served, %",
-        cell: |run| format!("{:.2}", 100.0 * run.results.served_fraction()),
+        text: |run| format!("{:.2}", 100.0 * run.results.served_fraction()),
     },
     Column {
         title: "rejected / failed / unanswered / interrupted",
-        cell: requests_not_served,
+        text: requests_not_served,
     },
     Column {
         title: "latency p50 / p99, ms",
-        cell: latency,
+        text: latency,
     },
     Column {
         title: "queue delay p50 / p99, ms",
-        cell: queue_delay,
+        text: queue_delay,
     },
     Column {
         title: "max / mean load within a machine type (by chance)",
-        cell: |run| largest_load(&run.results.load),
+        text: |run| largest_load(&run.results.load),
     },
     Column {
         title: "excess spread of load within a machine type, % of the mean",
-        cell: |run| excess_spread(&run.results.load),
+        text: |run| excess_spread(&run.results.load),
     },
     Column {
         title: "backends used per proxy (min, mean, max)",
-        cell: |run| count_range(&run.results.load.backends_per_proxy),
+        text: |run| count_range(&run.results.load.backends_per_proxy),
     },
     Column {
         title: "proxies per backend (min, mean, max)",
-        cell: |run| count_range(&run.results.load.proxies_per_backend),
+        text: |run| count_range(&run.results.load.proxies_per_backend),
     },
     Column {
         title: "new connections per attempt (1st, 2nd half)",
-        cell: |run| new_connections(&run.results.load),
+        text: |run| new_connections(&run.results.load),
     },
     Column {
         title: "slow start: backends, attempts in the worst window (budget), \
                 fraction of its bound, attempts over the bound",
-        cell: cold_starts,
+        text: cold_starts,
     },
     Column {
         title: "discovery: changes, calls, refused calls, calls timed out in the queue",
-        cell: discovery_calls,
+        text: discovery_calls,
     },
     Column {
         title: "notification delay p50 / p99 / max, s; later than 6 s",
-        cell: notification_delay,
+        text: notification_delay,
     },
     Column {
         title: "late attempts on unavailable backends: after notification, after the deadline",
-        cell: late_attempts,
+        text: late_attempts,
     },
     Column {
         title: "memory, KB per proxy",
-        cell: memory_per_proxy,
+        text: memory_per_proxy,
     },
     Column {
         title: "wall time, s (threads)",
-        cell: |run| format!("{:.1} ({})", run.cost.wall_secs, run.cost.threads),
+        text: |run| format!("{:.1} ({})", run.cost.wall_secs, run.cost.threads),
     },
 ];
 
--- a/crates/fleet-simulator/src/report/real_table.rs
+++ b/crates/fleet-simulator/src/report/real_table.rs
@@ -6,67 +6,67 @@
 const COLUMNS: [Column<Cell>; 16] = [
     Column {
         title: "backends",
-        cell: |cell| cell.backends.to_string(),
+        text: |cell| cell.backends.to_string(),
     },
     Column {
         title: "tenants",
-        cell: |cell| cell.tenants.to_string(),
+        text: |cell| cell.tenants.to_string(),
     },
     Column {
         title: "time until ready, s",
-        cell: |cell| format!("{:.2}", cell.ready_secs),
+        text: |cell| format!("{:.2}", cell.ready_secs),
     },
     Column {
         title: "resident memory at start (peak), MB",
-        cell: memory_at_start,
+        text: memory_at_start,
     },
     Column {
         title: "resident memory after load (peak; peak after further snapshots), MB",
-        cell: memory_after_load,
+        text: memory_after_load,
     },
     Column {
         title: "CPU when idle, % of a core",
-        cell: |cell| format!("{:.2}", cell.cpu.cpu_idle_percent),
+        text: |cell| format!("{:.2}", cell.cpu.cpu_idle_percent),
     },
     Column {
         title: "CPU under load, % of a core",
-        cell: |cell| format!("{:.2}", cell.cpu.cpu_load_percent),
+        text: |cell| format!("{:.2}", cell.cpu.cpu_load_percent),
     },
     Column {
         title: "endpoint list, bytes",
-        cell: |cell| cell.discovery.list_bytes.to_string(),
+        text: |cell| cell.discovery.list_bytes.to_string(),
     },
     Column {
         title: "delta of one endpoint, bytes",
-        cell: |cell| format!("{:.0}", cell.discovery.change_bytes),
+        text: |cell| format!("{:.0}", cell.discovery.change_bytes),
     },
     Column {
         title: "discovery when idle, bytes/s",
-        cell: |cell| format!("{:.0}", cell.discovery.idle_bytes_per_s),
+        text: |cell| format!("{:.0}", cell.discovery.idle_bytes_per_s),
     },
     Column {
         title: "new connections per request (1st, 2nd half)",
-        cell: new_connections,
+        text: new_connections,
     },
     Column {
         title: "added latency p50 / p99 / max, ms",
-        cell: added_latency,
+        text: added_latency,
     },
     Column {
         title: "added latency before and after the backend: p50 / p99, p50 / p99, ms",
-        cell: parts_of_added_latency,
+        text: parts_of_added_latency,
     },
     Column {
         title: "data path stall without event / on delta / on snapshot: median of 5 (max), ms",
-        cell: stalls,
+        text: stalls,
     },
     Column {
         title: "requests forwarded; rejected / failed / without response",
-        cell: request_counts,
+        text: request_counts,
     },
     Column {
         title: "CPU wait when idle / under load / under probes, % of the time",
-        cell: cpu_wait,
+        text: cpu_wait,
     },
 ];
 
--- a/crates/fleet-simulator/src/report/table.rs
+++ b/crates/fleet-simulator/src/report/table.rs
@@ -6,8 +6,8 @@
 pub struct Column<Record> {
     /// The column's title.
     pub title: &'static str,
-    /// Returns the text of the column's cell for a record.
-    pub cell: fn(&Record) -> String,
+    /// Returns the column's text for a record.
+    pub text: fn(&Record) -> String,
 }
 
 /// A markdown table.
@@ -29,8 +29,8 @@
         let titles: Vec<&str> = columns.iter().map(|column| column.title).collect();
         let mut table = Table::new(&titles);
         for record in records {
-            let cells = columns.iter().map(|column| (column.cell)(record));
-            table.row(cells.collect());
+            let values = columns.iter().map(|column| (column.text)(record));
+            table.row(values.collect());
         }
         table
     }
--- a/crates/fleet-simulator/src/simulated/setup.rs
+++ b/crates/fleet-simulator/src/simulated/setup.rs
@@ -3,7 +3,7 @@
 use super::scenario::Scenario;
 use serde::Serialize;
 
-/// The time from the start of a run to the measurement window, s.
+/// The time from the start of a run to its measurement window, s.
 pub const WARM_UP_SECS: f64 = 4.0;
 
 /// Faults that tests inject into the environment of the proxies, to show that the checks detect
@@ -50,7 +50,7 @@
     pub requests_per_second: f64,
     /// The ratio of the request rate at every tenth proxy to the rate at the others.
     pub skew: f64,
-    /// The simulated time, including the warm-up, s.
+    /// The simulated time, s. Its first [`WARM_UP_SECS`] are not measured.
     #[serde(rename = "secs")]
     pub duration_secs: f64,
     /// The time that discovery takes to serve a call, ms.
--- a/crates/fleet-simulator/src/soak/checks/tests.rs
+++ b/crates/fleet-simulator/src/soak/checks/tests.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_attempt_to_an_unavailable_backend_after_notification_and_grace_is_a_violation() {
+fn an_attempt_to_a_backend_that_the_proxy_should_know_to_be_unavailable_is_a_violation() {
     let sent_at = |at| {
         let mut records = records(served(Class::Read), vec![attempt(0, at)]);
         records.changes.push(ListChange {
--- a/crates/fleet-simulator/src/soak/clients.rs
+++ b/crates/fleet-simulator/src/soak/clients.rs
@@ -98,7 +98,7 @@
             let leaves = random.random_bool(self.plan.leaving_fraction);
             let leave_after = leaves.then(|| random.random_range(LEAVE_AFTER_SECS));
             let (end, next) = self
-                .finish(&request, sent_at, leave_after, stream, &mut reader)
+                .wait_for_response(&request, sent_at, leave_after, stream, &mut reader)
                 .await;
             let ended_at = self.clock.now();
             self.recorder.lock().requests.push(RequestRecord {
@@ -126,7 +126,7 @@
 
     /// Waits for the response, or leaves after `leave_after` seconds. Returns how the request
     /// ended, and the connection if it can be used for another request.
-    async fn finish(
+    async fn wait_for_response(
         &self,
         request: &Request,
         sent_at: f64,
--- a/crates/fleet-simulator/tests/report.rs
+++ b/crates/fleet-simulator/tests/report.rs
@@ -121,18 +121,18 @@
     assert_eq!(table.to_string(), "| a | b |\n| --- | --- |\n| 1 | 2 |\n");
 }
 
-/// The cells of one line of a markdown table.
-fn table_cells(line: &str) -> Vec<&str> {
+/// The values in one row of a markdown table.
+fn row_values(line: &str) -> Vec<&str> {
     line.trim_matches(['|', ' ']).split(" | ").collect()
 }
 
 #[test]
-fn the_table_of_cells_shows_each_measurement_under_its_title() {
+fn the_table_of_the_real_proxy_shows_each_measurement_under_its_title() {
     let table = real_table(&[passing_cell()]).to_string();
     let lines: Vec<&str> = table.lines().collect();
     assert_eq!(lines.len(), 3);
-    let titles = table_cells(lines[0]).into_iter();
-    let columns: Vec<_> = titles.zip(table_cells(lines[2])).collect();
+    let titles = row_values(lines[0]).into_iter();
+    let columns: Vec<_> = titles.zip(row_values(lines[2])).collect();
     let expected = [
         ("backends", "200"),
         ("tenants", "7"),
