--- a/crates/fleet-simulator/src/args.rs
+++ b/crates/fleet-simulator/src/args.rs
@@ -40,7 +40,7 @@
     /// Path of the proxy program.
     #[arg(long, default_value = "target/release/brookstack-proxy")]
     pub proxy: PathBuf,
-    /// Number of seeds, including those to skip. There is one run per seed.
+    /// Number of seeds, including those to skip. Each seed that is not skipped is one run.
     #[arg(long, default_value_t = 50)]
     pub seeds: u64,
     /// Seed of the first run. Each further run has the next higher seed.
--- a/crates/fleet-simulator/src/real/backends.rs
+++ b/crates/fleet-simulator/src/real/backends.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for the backends. Many backends share one listener. The proxy does not mix up their
-//! connections, because its connection pools are keyed by the name of the backend.
+//! connections, because it identifies a backend by its name, not by its address.
 
 use crate::failure::Failure;
 use bytes::Bytes;
--- a/crates/fleet-simulator/src/simulated/backend.rs
+++ b/crates/fleet-simulator/src/simulated/backend.rs
@@ -43,7 +43,7 @@
     }
 
     /// Its current capacity as a fraction of its full capacity. The fraction grows linearly from
-    /// [`SLOW_START_FLOOR`] to 1 during slow start, that is, [`SLOW_START_MICROS`] after its start.
+    /// [`SLOW_START_FLOOR`] to 1 during slow start, which lasts [`SLOW_START_MICROS`].
     pub(super) fn warmup_fraction(&self, now: Time) -> f64 {
         let progress = self.started_at.map_or(1.0, |started_at| {
             (now - started_at).0 as f64 / SLOW_START_MICROS as f64
--- a/crates/fleet-simulator/src/simulated/scenario.rs
+++ b/crates/fleet-simulator/src/simulated/scenario.rs
@@ -49,8 +49,8 @@
 /// The time from the start of draining to the restart of the proxies in a release. The outdated
 /// endpoint list of the restarted proxies does not show that these backends drain.
 const RELEASE_DELAY: Micros = Micros(3_000_000);
-/// The lower bound of the rate parameter of the distribution of replacement times, per second. At a
-/// rate of 0, the distribution yields infinite intervals.
+/// The lower bound of the rate parameter of the distribution of replacement times, per second. It
+/// keeps the drawn intervals finite if the rate is 0.
 const MIN_REPLACEMENT_RATE: f64 = 1e-9;
 
 /// The parameters of a scenario's timeline.
--- a/crates/fleet-simulator/src/soak/mod.rs
+++ b/crates/fleet-simulator/src/soak/mod.rs
@@ -36,8 +36,8 @@
     pub proxy: PathBuf,
     /// The seed of the first run. Each further run uses the next higher seed.
     pub first_seed: u64,
-    /// The number of seeds, starting with `first_seed` and including those that are skipped. There
-    /// is one run per seed.
+    /// The number of seeds, starting with `first_seed` and including those that are skipped. Each
+    /// seed that is not skipped is one run.
     pub seeds: u64,
     /// Seeds that are skipped.
     pub except: Vec<u64>,
