--- a/crates/fleet-simulator/src/deployment.rs
+++ b/crates/fleet-simulator/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The settings document that a deployment gives to its proxies.
 
 use crate::failure::InputError;
-use crate::world::{
+use crate::topology::{
     tenant_name, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MICROS, PEAK_REQUESTS_PER_SECOND,
     SLOW_START_FLOOR, SLOW_START_MICROS, ZONES,
 };
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
-    /// From an agent that runs beside the proxy and holds the list.
+    /// From an agent beside the proxy, which pushes changes to it.
     Automatic,
     /// From a central service, which the proxy polls and watches.
     Subscribe,
@@ -31,7 +31,7 @@
     pub tenant_count: usize,
     /// How proxies get the endpoint list.
     pub mode: DiscoveryMode,
-    /// The idle timeout of backend connections, s.
+    /// The time after which backends close an idle connection, s.
     pub connection_idle_secs: f64,
     /// The setting `costs.cross_zone`: by how much the balancer's objective decreases if every
     /// request crosses zones once.
@@ -53,7 +53,7 @@
             "my_zone": ZONES[self.proxy_index as usize % ZONES.len()],
             "over_share_worth": 0.1,
             "profiles": [read_class()],
-            "rules": warm_up_rules(),
+            "rules": slow_start_rules(),
             "weight_source": "rough",
             "zones": ZONES,
         })
@@ -88,7 +88,7 @@
     }
 }
 
-/// The profile of the only service class. Its requests are idempotent.
+/// The profile of the only traffic class. Its requests are idempotent.
 fn read_class() -> Value {
     json!({
         "name": "read",
@@ -103,9 +103,9 @@
     })
 }
 
-/// The `rules` section: how backends warm up, and how soon a proxy has to make its first call to
+/// The `rules` section: the slow start of backends, and the time within which a proxy has to poll
 /// discovery.
-fn warm_up_rules() -> Value {
+fn slow_start_rules() -> Value {
     json!({
         "cold_from": SLOW_START_FLOOR,
         "fall_multiple": OVERLOAD_MULTIPLE,
--- a/crates/fleet-simulator/src/main.rs
+++ b/crates/fleet-simulator/src/main.rs
@@ -3,7 +3,7 @@
 use brookstack_fleet_simulator::args::{AllArgs, Cli, Command, FleetArgs, RealArgs, SoakArgs};
 use brookstack_fleet_simulator::failure::Failure;
 use brookstack_fleet_simulator::real::cell::Cell;
-use brookstack_fleet_simulator::simulated::figures::FleetResults;
+use brookstack_fleet_simulator::simulated::results::FleetResults;
 use brookstack_fleet_simulator::simulated::{self, Cost, FleetRun};
 use brookstack_fleet_simulator::soak::{self, SoakSetup};
 use brookstack_fleet_simulator::{real, report};
@@ -125,7 +125,8 @@
     }
 }
 
-/// Prints the failed checks. Returns an error if there are any, so that the command fails.
+/// Prints the failed checks, or for `soak` the failed runs. Returns an error if there are any, so
+/// that the command fails.
 fn report_failed_checks(failed: &[String]) -> Result<(), Failure> {
     for line in failed {
         println!("check failed: {line}");
--- a/crates/fleet-simulator/tests/figures.rs
+++ b/crates/fleet-simulator/tests/figures.rs
@@ -5,7 +5,7 @@
 use brookstack_fleet_simulator::simulated::load::{largest_by_chance, CountRange};
 use brookstack_fleet_simulator::simulated::scenario::Scenario;
 use brookstack_fleet_simulator::simulated::{self, FaultInjection, Setup};
-use brookstack_fleet_simulator::world::{backend_name, placement, MACHINE_TYPES, ZONES};
+use brookstack_fleet_simulator::topology::{backend_name, placement, MACHINE_TYPES, ZONES};
 use std::collections::BTreeSet;
 
 #[test]
@@ -91,7 +91,7 @@
         faults: FaultInjection::default(),
     };
     let mut results = simulated::run(&setup, 1).expect("a valid setup").results;
-    let failed = |results: &simulated::figures::FleetResults| -> Vec<&'static str> {
+    let failed = |results: &simulated::results::FleetResults| -> Vec<&'static str> {
         checks(results)
             .iter()
             .filter(|check| !check.passed)
