--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -23,7 +23,8 @@
     /// After that time the attempt is not safe, because backends may have forgotten the request's
     /// idempotency key.
     pub send_by: Option<Time>,
-    /// The time by which the client must have its response.
+    /// The deadline of the request, from which the time left in the forwarded header is computed.
+    /// The driver aborts the attempt at this time.
     pub deadline: Time,
 }
 
@@ -164,6 +165,7 @@
     if !is_new && !progress.write_started.get() {
         return None;
     }
+    // Without the last byte of the request, the backend cannot have executed it.
     if !progress.write_completed.get() {
         return Some(Outcome::ConnectFailed);
     }
--- a/crates/proxy/src/backend_connection.rs
+++ b/crates/proxy/src/backend_connection.rs
@@ -17,12 +17,12 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// The largest response head, in bytes.
+/// The maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The largest response in bytes, including its framing and the 1xx responses before it.
+/// The maximum size of a response in bytes, including its framing and the 1xx responses before it.
 const MAX_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES + MAX_HEAD_BYTES;
 
-/// HTTP/1.1 could not be set up on a connected socket.
+/// The error of setting up HTTP/1.1 on a connected socket.
 #[derive(Debug, thiserror::Error)]
 #[error("could not set up HTTP on the connection to the backend: {0}")]
 pub struct HandshakeError(#[source] hyper::Error);
@@ -51,7 +51,7 @@
     pub established_at: Time,
     /// How much of the current request was sent and of its response was read.
     pub progress: Rc<StreamProgress>,
-    /// Whether the connection's future has completed. It must not be polled again then.
+    /// Whether the connection's future has completed. A completed future must not be polled again.
     ended: bool,
     _socket: CountGuard,
 }
--- a/crates/proxy/src/backend_response.rs
+++ b/crates/proxy/src/backend_response.rs
@@ -1,4 +1,4 @@
-//! Classifies a backend's response into the outcome of the attempt.
+//! The result of an attempt, and the classification of a backend's response.
 
 use crate::forwarded_request::{connection_options, remove_hop_by_hop_headers};
 use brookstack_balancer::{Outcome, Time};
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -40,7 +40,7 @@
     pub max_descriptors: usize,
     /// The memory limit of the process, in bytes.
     pub memory_limit_bytes: usize,
-    /// The last endpoint list that an earlier run of this proxy held, if the file contains one.
+    /// The last endpoint list of an earlier run of this proxy, if the file contains one.
     pub cached_endpoints: Option<EndpointList>,
     /// The configuration of the balancer.
     pub balancer: brookstack_balancer::Config,
@@ -49,11 +49,13 @@
     /// The maximum number of open requests. Requests beyond it are rejected before they reach the
     /// balancer.
     pub max_open_requests: usize,
-    /// The time after which backends close idle connections at the latest.
+    /// The idle timeout of the backends: they close an idle connection after this time at the
+    /// latest.
     pub idle_timeout: Micros,
     /// The time after which an attempt to connect to a backend counts as failed.
     pub connect_timeout: Micros,
-    /// The longest deadline of any class. No client waits longer for a response.
+    /// The longest deadline of any class, and the longest time that a client may wait for a
+    /// response.
     pub longest_deadline: Micros,
     /// The maximum size of an endpoint list's JSON text, in bytes.
     pub max_list_bytes: usize,
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -6,8 +6,9 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The reason why the configuration file cannot be used. Each message is one line that names the
-/// environment variable or the path of a value in the file, what was expected and what was found.
+/// The reason why the configuration file cannot be used. Each message is one line with what was
+/// expected and what was found. It names the environment variable or the path of the value in the
+/// file, unless the whole document is not an object.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The environment variable that names the file is not set.
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -27,7 +27,8 @@
     /// The proxy has no free socket. This does not count against the backend.
     #[error("no free socket for a connection to the backend")]
     NoFreeSocket,
-    /// The backend refused the connection, or did not accept it within the time limit.
+    /// The backend refused the connection or did not accept it within the time limit, or HTTP could
+    /// not be set up on it.
     #[error("could not connect to the backend")]
     Failed,
 }
@@ -43,7 +44,8 @@
 
 /// An idle connection that was taken from the pool.
 pub struct ReusedConnection {
-    /// The time at which its last request ended.
+    /// The time at which its last request ended, or at which it was established if it has not been
+    /// used.
     pub idle_since: Time,
     /// The connection, which can take a request.
     pub connection: BackendConnection,
@@ -121,7 +123,8 @@
     }
 
     /// Takes the upstream's most recently used idle connection. Connections that have been idle for
-    /// too long or that the backend has closed are dropped. Returns `None` if there is no other.
+    /// too long or that the backend has closed are dropped. Returns `None` if no usable one is
+    /// left.
     pub async fn take_idle(&self, upstream: &Upstream) -> Option<ReusedConnection> {
         loop {
             let IdleConnection {
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -35,8 +35,8 @@
     pub endpoints: Vec<ResolvedEndpoint>,
 }
 
-/// A document is not a valid endpoint list. The message contains the path of the invalid value, the
-/// expected value and the actual value, followed by the line and column.
+/// The error for a document that is not a valid endpoint list. The message contains the path of the
+/// invalid value, the expected value and the actual value, followed by the line and column.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct EndpointListError(#[from] serde_json::Error);
--- a/crates/proxy/src/discovery/endpoint_list/decode.rs
+++ b/crates/proxy/src/discovery/endpoint_list/decode.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Reads the next entry. The path of the entry is added to errors, which have none yet.
+/// Reads the next entry. Adds the path of the entry to an error, which contains no path yet.
 fn next_entry<'de, A: SeqAccess<'de>>(
     entries: &mut A,
     index: usize,
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! Watches the endpoint list by long polling. The proxy makes calls to discovery one after the
-//! other. Each call specifies a wait, and the service holds the call open until the list changes or
-//! the wait ends.
+//! other. A call for the complete list specifies no wait. A call for the changes after a version
+//! specifies a wait, and discovery holds it open until the list changes or the wait ends.
 //!
 //! The list comes either from a central service that all proxies poll, or from a local agent that
 //! pushes changes. In both cases a proxy counts as notified of a change soon after the service or
@@ -82,10 +82,10 @@
 
 /// Watches the endpoint list and sends each change to the driver.
 pub struct EndpointWatcher {
-    /// Whether a local agent pushes changes, or the central service is called when the balancer
-    /// requests it.
+    /// Whether a local agent pushes changes, or the central service is polled. The first call to
+    /// the service and each call after a failure wait until the balancer requests a poll.
     pub mode: DiscoveryMode,
-    /// The version of the list that the proxy holds. If `None`, the next call requests the complete
+    /// The version of the proxy's current list. If `None`, the next call requests the complete
     /// list.
     pub version: Option<u64>,
     /// Notified when the balancer requests a poll.
@@ -109,8 +109,8 @@
             // be held open, and the agent would not send the changes that it has.
             self.version = None;
         }
-        // An agent is called immediately. The central service is called when the balancer requests
-        // it.
+        // The first call to an agent is made immediately, the first call to the central service
+        // when the balancer requests a poll.
         let mut poll_at_once = self.is_push();
         loop {
             let address = *addresses.borrow_and_update();
@@ -178,9 +178,9 @@
 
     /// Records the version of a list and sends the list to the driver.
     fn handle_list(&mut self, list: EndpointList) {
-        // A delta that is older than the held list comes from a service that has restarted and
+        // A delta that is older than the current list comes from a service that has restarted and
         // counts versions from the start again. The next call then requests the complete list.
-        let is_older = !list.is_snapshot && self.version.is_some_and(|held| list.version < held);
+        let is_older = !list.is_snapshot && self.version.is_some_and(|last| list.version < last);
         self.version = (!is_older).then_some(list.version);
         let update = if list.is_snapshot {
             EndpointUpdate::Snapshot
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Requests the changes since the held version, or the complete list if no version is held.
+    /// Requests the changes since the current version, or the complete list if there is no version.
     /// Uses the open connection if there is one, otherwise opens a new one.
     async fn get_list(
         &self,
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -56,14 +56,14 @@
     pub balancer_config: Config,
     /// The seed of the balancer's random number generator.
     pub seed: u64,
-    /// The largest number of pending requests. Requests beyond it are rejected without asking the
+    /// The maximum number of pending requests. Requests beyond it are rejected without asking the
     /// balancer.
     pub max_open_requests: usize,
     /// The pool of connections to backends.
     pub pool: Rc<ConnectionPool>,
     /// The channel on which attempts report their end. [`Driver::run`] gets its receiver.
     pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// Notified when the balancer wants the endpoint list to be watched or polled.
+    /// Notified when the balancer requests a poll of discovery.
     pub poll_requested: Rc<Notify>,
     /// The driver's state that other parts of the proxy read.
     pub status: Rc<Status>,
@@ -79,7 +79,7 @@
     pool: Rc<ConnectionPool>,
     /// The channel on which attempts report their end.
     event_sender: mpsc::UnboundedSender<DriverEvent>,
-    /// Notified when the balancer wants the endpoint list to be watched or polled.
+    /// Notified when the balancer requests a poll of discovery.
     poll_requested: Rc<Notify>,
     status: Rc<Status>,
 }
@@ -164,8 +164,9 @@
         tokio::task::spawn_local(async move { pool.close_expired().await });
     }
 
-    /// Handles the part of an event that cannot wait for the balancer's tick. For example, a
-    /// successful response is sent to its client immediately.
+    /// Handles an event. What does not need a decision of the balancer is done immediately: for
+    /// example, a response that can be forwarded is sent to its client. The rest is reported to the
+    /// balancer for its next tick.
     fn handle_event(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::RequestArrived(incoming) => self.accept_request(incoming),
--- a/crates/proxy/src/driver/actions.rs
+++ b/crates/proxy/src/driver/actions.rs
@@ -48,8 +48,8 @@
             request,
             attempt: pending.next_attempt_number(),
         };
-        // After the balancer's decision, the request may have been settled, or the backend may
-        // have started to drain or been removed.
+        // The balancer may have decided before it handled an event that settled the request, or by
+        // which the backend started to drain or was removed.
         let settled = !pending.awaits_response();
         let may_send = !settled && pending.deadline > now;
         match self.upstreams.accepting(backend) {
--- a/crates/proxy/src/driver/balancer_host.rs
+++ b/crates/proxy/src/driver/balancer_host.rs
@@ -92,8 +92,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Passes an event of the current tick to the balancer, which adds its actions to `actions`.
-    /// After a panic, `actions` holds the actions that were added before the panic.
+    /// Passes an event of the current tick to the balancer, which adds its actions to `actions`. If
+    /// the balancer panics, the actions that it added before the panic remain in `actions`.
     pub fn handle(
         &mut self,
         now: Time,
--- a/crates/proxy/src/driver/in_flight_attempt.rs
+++ b/crates/proxy/src/driver/in_flight_attempt.rs
@@ -11,7 +11,7 @@
 /// Why the driver aborts an attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum AbortReason {
-    /// The balancer cancelled the attempt, or its request was settled.
+    /// The balancer cancelled the attempt, or the client no longer waits for the response.
     Cancelled,
     /// The request's deadline has passed.
     DeadlineExceeded,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The balancer's event for an attempt that ended with a result.
+    /// The balancer's event for an attempt that ended with a result. `settled` tells whether the
+    /// client no longer waits for a response to the request.
     pub fn finished(&self, now: Time, result: &AttemptResult, settled: bool) -> Event {
         self.ended(now, result.outcome, settled, result.connected_at)
     }
@@ -111,8 +112,9 @@
     })
 }
 
-/// Ensures that the end of an attempt is reported. If the task ends without a result, for example
-/// by a panic, the attempt is reported as reset, because the request may have been executed.
+/// Ensures that the end of an attempt is reported to the driver. If the task panics, the attempt is
+/// reported as reset, because the request may have been executed. A task that the driver aborts
+/// also reports a reset, which the driver ignores.
 struct AttemptGuard {
     events: mpsc::UnboundedSender<DriverEvent>,
     id: AttemptId,
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -1,4 +1,7 @@
 //! The requests that wait for their response or have attempts in flight, and their deadlines.
+//!
+//! A request is settled when its client no longer waits for a response: the final response was
+//! sent, or the client has disconnected.
 
 use super::balancer_host::BalancerHost;
 use super::in_flight_attempt::{AbortReason, InFlightAttempt};
@@ -11,7 +14,7 @@
 
 /// A request that waits for its response or has attempts in flight.
 pub struct PendingRequest {
-    /// The time by which the client must have its response.
+    /// The time at which the attempts in flight are aborted.
     pub deadline: Time,
     /// The request as it is sent to backends.
     pub forwarded: Rc<ForwardedRequest>,
@@ -169,10 +172,10 @@
         self.settle(request, now, balancer);
     }
 
-    /// Settles a request: the client does not wait for a response any more. Attempts that are not
-    /// completely sent are aborted, even if the configuration does not allow attempts to be
-    /// cancelled, because a backend starts to execute a request only when it gets the last byte.
-    /// The balancer decides whether to cancel the other attempts.
+    /// Aborts the attempts of a settled request that are not completely sent, even if the
+    /// configuration does not allow attempts to be cancelled, because a backend starts to execute a
+    /// request only when it gets the last byte. The balancer decides whether to cancel the other
+    /// attempts.
     pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
         let Some(pending) = self.requests.get_mut(&request) else {
             return;
@@ -215,7 +218,8 @@
         }
     }
 
-    /// Removes and returns a request whose grace period has ended without a response.
+    /// Returns a request whose grace period has ended without a response. Each request is returned
+    /// at most once, and it stays pending.
     pub fn pop_overdue(&mut self, now: Time) -> Option<RequestId> {
         while self.next_grace_end().is_some_and(|at| at <= now) {
             let DueTime { request, .. } = self.grace_ends.pop_front()?;
@@ -227,9 +231,9 @@
     }
 
     /// Drops the finished requests. This is called at the end of a tick, when the balancer has
-    /// handled the events of their end. Until then it may dispatch another attempt, and the end of
-    /// that attempt must be reported under its own number. Otherwise the balancer would count the
-    /// attempt as in flight forever.
+    /// handled the events of their end. Until then the balancer may dispatch another attempt, and
+    /// the end of that attempt must be reported under its own number. Otherwise the balancer would
+    /// count the attempt as in flight forever.
     pub fn drop_finished(&mut self) {
         for request in self.finished.drain(..) {
             let pending = self.requests.get(&request);
--- a/crates/proxy/src/driver/upstreams.rs
+++ b/crates/proxy/src/driver/upstreams.rs
@@ -14,7 +14,8 @@
 }
 
 impl Upstreams {
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list. A complete list also removes the backends that are
+    /// not on it.
     pub fn apply(&mut self, update: EndpointUpdate, targets: Vec<ResolvedEndpoint>) {
         let is_complete = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let mut previous = HashMap::new();
@@ -63,7 +64,8 @@
             .any(|upstream| upstream.accepts_requests())
     }
 
-    /// The current endpoint list.
+    /// The backends on the endpoint list, each with the entry with which its process was first
+    /// listed and with its current state.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.by_backend
             .values()
@@ -85,7 +87,8 @@
     }
 }
 
-/// The endpoint list's entry for a process, with its current state.
+/// The entry with which a process was first listed, with the state that follows from whether it
+/// accepts requests now.
 fn endpoint(upstream: &Upstream) -> Endpoint {
     let state = if upstream.accepts_requests() {
         BackendState::Ready
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,8 +4,8 @@
 
 use std::process::ExitCode;
 
-/// The environment variable that sets the log level: error, warn, info, debug or trace. The default
-/// is info.
+/// The environment variable that sets the log level: error, warn, info, debug or trace. If it is
+/// not set or holds another value, the level is info.
 const LOG_LEVEL_VARIABLE: &str = "BROOKSTACK_LOG";
 
 fn main() -> ExitCode {
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/message.rs
@@ -29,7 +29,7 @@
     pub class: ClassId,
     /// The tenant, or `None` if no tenants are configured.
     pub tenant: Option<TenantId>,
-    /// The time by which the request must be answered.
+    /// The deadline of the request. It lies before the time at which the client gives up.
     pub deadline: Time,
     /// The work that the client expects, as processor time on a standard core.
     pub work_hint: Option<Micros>,
@@ -56,8 +56,8 @@
     RequestArrived(IncomingRequest),
     /// The client disconnected, so the request needs no response any more.
     ClientDisconnected(RequestId),
-    /// An attempt has ended without being aborted by the driver.
+    /// An attempt has ended. The driver ignores the event for an attempt that it has aborted.
     AttemptEnded(AttemptId, AttemptResult),
-    /// The endpoint list was loaded or has changed, or a poll or watch of discovery failed.
+    /// An endpoint list or changes to it were loaded or received, or a call to discovery failed.
     EndpointsUpdated(EndpointUpdate, Vec<ResolvedEndpoint>),
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,6 @@
 //! Reloads the configuration on SIGHUP. Only a changed address of discovery takes effect. All other
-//! changed values are listed in the log and take effect at the next start. The proxy continues to
-//! serve requests with its current endpoint list.
+//! changed values are listed in the log and take effect at the next start. The cached endpoint list
+//! in the file must be valid but is not used: the proxy keeps its current list.
 
 use crate::config::{self, Config};
 use serde_json::Value;
@@ -14,7 +14,8 @@
 /// Reloads the configuration on each SIGHUP and sends the address of discovery if it has changed.
 /// An invalid file changes nothing.
 ///
-/// `running` is the configuration document that the proxy was started with.
+/// `running` is the configuration document that the proxy was started with, without the cached
+/// endpoint list.
 pub async fn reload_on_sighup(
     mut hangup: Signal,
     running: Value,
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -51,7 +51,7 @@
     /// The longest time that a client may wait for a response. A longer `X-Time-Left-Ms` is reduced
     /// to it.
     pub max_time_left: Micros,
-    /// The tick of the balancer.
+    /// The length of the balancer's tick.
     pub tick: Micros,
     /// The maximum number of open client connections.
     pub max_connections: usize,
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -27,7 +27,8 @@
 /// What a connection is waiting for.
 #[derive(Clone, Copy)]
 pub(super) enum ConnectionPhase {
-    /// Waiting for the complete head of the next request since the given time.
+    /// Waiting for the complete head of the next request since the given time. The response to the
+    /// previous request may not be written completely yet.
     AwaitingHead { since: Time },
     /// Waiting for the body of a request whose head has arrived.
     ReadingBody,
--- a/crates/proxy/src/server/listener.rs
+++ b/crates/proxy/src/server/listener.rs
@@ -22,7 +22,9 @@
         self.shutdown.set(Some(shutdown));
     }
 
-    /// Accepts connections until [`SHUTDOWN_ACCEPT_PERIOD`] after the shutdown signal.
+    /// Accepts connections until [`SHUTDOWN_ACCEPT_PERIOD`] after the shutdown signal. Meanwhile it
+    /// closes connections that have timed out, and evicts one if the limit on connections is
+    /// reached or an accept fails.
     pub(super) async fn accept_until_shutdown(
         self: &Rc<Self>,
         listener: &TcpListener,
--- a/crates/proxy/src/server/shutdown.rs
+++ b/crates/proxy/src/server/shutdown.rs
@@ -15,7 +15,7 @@
 /// The time between the longest deadline of the requests that arrived before the shutdown signal
 /// and the moment at which the process may be killed.
 const KILL_GRACE_PERIOD: Micros = Micros(700_000);
-/// The upper bound on the request deadline from which the time of the kill is computed.
+/// The upper bound on the longest deadline in the computation of when the process may be killed.
 const KILL_MAX_TIME_LEFT: Micros = Micros(3_000_000);
 /// The time between the latest response to a request that arrives after the shutdown signal and the
 /// moment at which the process may be killed. The response needs this time to cross the network.
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -111,7 +111,7 @@
     clock: Clock,
     /// Sends events to the driver.
     events: mpsc::UnboundedSender<DriverEvent>,
-    /// The driver uses this to notify the endpoint watcher that the balancer requests a poll of
+    /// The driver notifies the endpoint watcher with this when the balancer requests a poll of
     /// discovery.
     poll_requested: Rc<Notify>,
     /// The status that the driver reports to the server.
--- a/crates/proxy/src/tracked_stream.rs
+++ b/crates/proxy/src/tracked_stream.rs
@@ -27,7 +27,8 @@
 }
 
 impl StreamProgress {
-    /// Resets the progress for the next request on the same connection.
+    /// Resets the progress for the next request on the same connection. `connection_lost` is kept,
+    /// because it describes the connection and not the request.
     pub fn reset(&self) {
         self.write_started.set(false);
         self.write_completed.set(false);
@@ -42,7 +43,7 @@
     stream: TcpStream,
     /// The progress of the current request, shared with its attempt.
     pub progress: Rc<StreamProgress>,
-    /// The largest response in bytes, including its framing. Reading more fails.
+    /// The maximum size of a response in bytes, including its framing. Reading more fails.
     max_response_bytes: usize,
 }
 
@@ -56,10 +57,10 @@
         }
     }
 
-    /// Fails if the socket has unread input or was closed before the first byte of a request is
-    /// written. Bytes that arrived before the request are not its response, and a response does not
-    /// identify the request that it answers. This checks the socket itself, because the runtime may
-    /// not have noticed the bytes yet.
+    /// Before the first byte of a request is written, fails if the socket has unread input or the
+    /// backend has closed the connection. Bytes that arrived before the request are not its
+    /// response, and a response does not identify the request that it answers. This checks the
+    /// socket itself, because the runtime may not have noticed the bytes yet.
     fn ensure_no_unread_input(&self) -> io::Result<()> {
         if self.progress.write_started.get() {
             return Ok(());
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A process of a backend, and the idle connections to it.
+//! A backend process and the idle connections to it.
 
 use crate::backend_connection::BackendConnection;
 use crate::count_guard::CountGuard;
@@ -8,7 +8,8 @@
 
 /// A connection that is kept for another request.
 pub struct IdleConnection {
-    /// The time at which its last request ended.
+    /// The time at which its last request ended, or at which it was established if it has not been
+    /// used.
     pub idle_since: Time,
     /// The connection, without a request under way.
     pub connection: BackendConnection,
@@ -16,10 +17,11 @@
     pub count: CountGuard,
 }
 
-/// A process of a backend. A restarted backend gets a new `Upstream`, so that no connection to the
-/// old process is used.
+/// A backend process. A restarted backend gets a new `Upstream`, so that no connection to the old
+/// process is used.
 pub struct Upstream {
-    /// The process's entry on the endpoint list, and its address.
+    /// The entry with which the process was first listed, and its address. Later entries update
+    /// only `accepts_requests`.
     pub target: ResolvedEndpoint,
     /// Whether the process accepts new requests. Each attempt checks this again before it sends the
     /// first byte.
