--- a/crates/proxy/src/discovery/endpoint_list/decode.rs
+++ b/crates/proxy/src/discovery/endpoint_list/decode.rs
@@ -34,7 +34,7 @@
         let version = self
             .index
             .as_unsigned()
-            .ok_or_else(|| self.index.invalid("index", "a version number"))?;
+            .ok_or_else(|| self.index.invalid("index", "an integer of 0 or more"))?;
         let is_snapshot = self
             .snapshot
             .as_bool()
--- a/crates/proxy/src/discovery/endpoint_list/entry.rs
+++ b/crates/proxy/src/discovery/endpoint_list/entry.rs
@@ -128,7 +128,7 @@
     }
     let milliseconds = value
         .as_unsigned()
-        .ok_or_else(|| value.invalid(path, "an integer number of milliseconds"))?;
+        .ok_or_else(|| value.invalid(path, "whole milliseconds"))?;
     if milliseconds == 0 {
         return Ok(None);
     }
@@ -139,7 +139,7 @@
 fn group_number(value: &Scalar<'_>, path: ValuePath) -> Result<u64, InvalidValue> {
     value
         .as_unsigned()
-        .ok_or_else(|| value.invalid(path, "a group number"))
+        .ok_or_else(|| value.invalid(path, "an integer of 0 or more"))
 }
 
 fn weight(value: &Scalar<'_>, path: ValuePath) -> Result<f64, InvalidValue> {
--- a/crates/proxy/src/discovery/endpoint_list/tests.rs
+++ b/crates/proxy/src/discovery/endpoint_list/tests.rs
@@ -72,7 +72,7 @@
     assert_rejected(
         "/index",
         json!(-1),
-        "index: expected a version number, got -1",
+        "index: expected an integer of 0 or more, got -1",
     );
     assert_rejected(
         "/snapshot",
@@ -116,7 +116,7 @@
     assert_rejected(
         "/endpoints/1/group",
         json!(1.5),
-        "endpoints[1].group: expected a group number, got 1.5",
+        "endpoints[1].group: expected an integer of 0 or more, got 1.5",
     );
     assert_rejected(
         "/endpoints/1/weight",
@@ -126,7 +126,7 @@
     assert_rejected(
         "/endpoints/1/since_ms",
         json!("x"),
-        "endpoints[1].since_ms: expected an integer number of milliseconds, got \"x\"",
+        "endpoints[1].since_ms: expected whole milliseconds, got \"x\"",
     );
     assert_rejected(
         "/endpoints/1/address",
