--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -46,12 +46,12 @@
     pub balancer: brookstack_balancer::Config,
     /// Maps the configured names of classes and tenants to the balancer's identifiers.
     pub names: Names,
-    /// The maximum number of open requests. Requests beyond it are rejected before they reach the
-    /// balancer.
-    pub max_open_requests: usize,
+    /// The maximum number of requests that wait for their response or have attempts in flight.
+    /// Requests beyond it are rejected before they reach the balancer.
+    pub max_pending_requests: usize,
     /// The idle timeout of the backends: they close an idle connection after this time at the
     /// latest.
-    pub idle_timeout: Micros,
+    pub backend_idle_timeout: Micros,
     /// The time after which an attempt to connect to a backend counts as failed.
     pub connect_timeout: Micros,
     /// The longest deadline of any class, and the longest time that a client may wait for a
@@ -109,8 +109,8 @@
         max_list_bytes: (memory_limit_bytes / LIST_MEMORY_DIVISOR).max(MIN_LIST_BYTES),
         balancer,
         names,
-        max_open_requests: request_limits.get("open_cap").count()? as usize,
-        idle_timeout: request_limits.get("conn_idle_us").micros()?,
+        max_pending_requests: request_limits.get("open_cap").count()? as usize,
+        backend_idle_timeout: request_limits.get("conn_idle_us").micros()?,
         connect_timeout: request_limits.get("dial_timeout_us").micros()?,
         longest_deadline: longest_deadline(&settings)?,
         cached_endpoints: document.cached_endpoints,
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -55,7 +55,7 @@
 pub struct ConnectionPool {
     /// The clock for idle times and deadlines.
     pub clock: Clock,
-    dial_timeout: Micros,
+    connect_timeout: Micros,
     idle_timeout: Micros,
     /// The number of open sockets to backends.
     sockets: Rc<Cell<usize>>,
@@ -70,17 +70,18 @@
 impl ConnectionPool {
     /// Creates a pool without connections.
     ///
-    /// `backend_idle_timeout` is the time after which backends close an idle connection.
+    /// `backend_idle_timeout` is the time after which backends close an idle connection at the
+    /// latest.
     /// `max_sockets` limits the number of all connections, including idle ones.
     pub fn new(
         clock: Clock,
-        dial_timeout: Micros,
+        connect_timeout: Micros,
         backend_idle_timeout: Micros,
         max_sockets: usize,
     ) -> ConnectionPool {
         ConnectionPool {
             clock,
-            dial_timeout,
+            connect_timeout,
             idle_timeout: backend_idle_timeout.times(IDLE_TIMEOUT_FRACTION),
             sockets: Rc::default(),
             max_sockets,
@@ -171,7 +172,7 @@
             return Err(ConnectError::NoFreeSocket);
         }
         let socket = CountGuard::new(&self.sockets);
-        let timeout = duration(self.dial_timeout);
+        let timeout = duration(self.connect_timeout);
         let stream = match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if is_out_of_descriptors(&error) => {
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -111,11 +111,11 @@
         }
         // The first call to an agent is made immediately, the first call to the central service
         // when the balancer requests a poll.
-        let mut poll_at_once = self.is_push();
+        let mut poll_immediately = self.is_push();
         loop {
             let address = *addresses.borrow_and_update();
             tokio::select! {
-                never = self.watch(address, poll_at_once) => match never {},
+                never = self.watch(address, poll_immediately) => match never {},
                 changed = addresses.changed() => {
                     if changed.is_err() {
                         return; // the program ends
@@ -123,7 +123,7 @@
                     // The new service is called immediately, even during a pause after a failure of
                     // the old one.
                     self.version = None;
-                    poll_at_once = true;
+                    poll_immediately = true;
                 }
             }
         }
@@ -131,17 +131,17 @@
 
     /// Watches the list at one address. After a response the next call is made immediately, so that
     /// no change is missed between two calls.
-    async fn watch(&mut self, address: SocketAddr, mut poll_at_once: bool) -> Infallible {
+    async fn watch(&mut self, address: SocketAddr, mut poll_immediately: bool) -> Infallible {
         let mut connection = None;
         let mut backoff = Backoff::new();
         loop {
-            if !poll_at_once {
+            if !poll_immediately {
                 self.poll_requested.notified().await;
             }
             let wait = self.next_wait();
             match self.poll(&mut connection, address, wait).await {
                 Ok(list) => {
-                    poll_at_once = true;
+                    poll_immediately = true;
                     backoff = Backoff::new();
                     self.handle_list(list);
                 }
@@ -151,7 +151,7 @@
                          the current endpoint list stays in use until a call succeeds"
                     );
                     connection = None;
-                    poll_at_once = self.is_push();
+                    poll_immediately = self.is_push();
                     self.handle_failure(&error, &mut backoff).await;
                 }
             }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -58,7 +58,7 @@
     pub seed: u64,
     /// The maximum number of pending requests. Requests beyond it are rejected without asking the
     /// balancer.
-    pub max_open_requests: usize,
+    pub max_pending_requests: usize,
     /// The pool of connections to backends.
     pub pool: Rc<ConnectionPool>,
     /// The channel on which attempts report their end. [`Driver::run`] gets its receiver.
@@ -72,7 +72,7 @@
 /// Runs the balancer and carries out its decisions; see the [module](self).
 pub struct Driver {
     clock: Clock,
-    max_open_requests: usize,
+    max_pending_requests: usize,
     balancer: BalancerHost,
     pending: PendingRequests,
     upstreams: Upstreams,
@@ -92,7 +92,7 @@
         let grace_period = Micros(RESPONSE_GRACE_TICKS * tick.0);
         Ok(Driver {
             clock: parts.clock,
-            max_open_requests: parts.max_open_requests,
+            max_pending_requests: parts.max_pending_requests,
             balancer: BalancerHost::new(parts.balancer_config, parts.seed)?,
             pending: PendingRequests::new(grace_period),
             upstreams: Upstreams::default(),
@@ -179,7 +179,7 @@
     }
 
     fn accept_request(&mut self, incoming: IncomingRequest) {
-        if self.pending.len() >= self.max_open_requests {
+        if self.pending.len() >= self.max_pending_requests {
             // The request is passed to neither the balancer nor a backend.
             let retry_after = self.balancer.retry_after();
             let _ = incoming.reply.send(FinalResponse::Rejected(retry_after));
@@ -200,7 +200,8 @@
         if self.pending.disconnect(request) {
             self.balancer.report(Event::ClientDisconnected { request });
             let now = self.clock.now();
-            self.pending.settle(request, now, &mut self.balancer);
+            self.pending
+                .abort_unsent_attempts(request, now, &mut self.balancer);
         }
     }
 
@@ -226,7 +227,8 @@
             .report(attempt.finished(now, &result, settled));
         if settled {
             let now = self.clock.now();
-            self.pending.settle(id.request, now, &mut self.balancer);
+            self.pending
+                .abort_unsent_attempts(id.request, now, &mut self.balancer);
         }
     }
 
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -52,7 +52,7 @@
     }
 
     /// Aborts the attempts that have not been sent completely.
-    fn cancel_unsent_attempts(&mut self, now: Time, balancer: &mut BalancerHost) {
+    fn abort_unsent_attempts(&mut self, now: Time, balancer: &mut BalancerHost) {
         let (sent, unsent): (HashMap<_, _>, HashMap<_, _>) = std::mem::take(&mut self.attempts)
             .into_iter()
             .partition(|(_, attempt)| attempt.progress.is_complete());
@@ -157,8 +157,8 @@
         pending.is_some_and(|pending| pending.reply.take().is_some())
     }
 
-    /// Sends the final response to a request if the client still waits for it, and settles the
-    /// request.
+    /// Sends the final response to a request if the client still waits for it, and aborts the
+    /// request's attempts that are not completely sent.
     pub fn respond(
         &mut self,
         request: RequestId,
@@ -169,18 +169,23 @@
         if let Some(pending) = self.requests.get_mut(&request) {
             pending.respond(response);
         }
-        self.settle(request, now, balancer);
+        self.abort_unsent_attempts(request, now, balancer);
     }
 
     /// Aborts the attempts of a settled request that are not completely sent, even if the
     /// configuration does not allow attempts to be cancelled, because a backend starts to execute a
     /// request only when it gets the last byte. The balancer decides whether to cancel the other
-    /// attempts.
-    pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
+    /// attempts. A request without attempts in flight is marked for removal.
+    pub fn abort_unsent_attempts(
+        &mut self,
+        request: RequestId,
+        now: Time,
+        balancer: &mut BalancerHost,
+    ) {
         let Some(pending) = self.requests.get_mut(&request) else {
             return;
         };
-        pending.cancel_unsent_attempts(now, balancer);
+        pending.abort_unsent_attempts(now, balancer);
         self.mark_if_finished(request);
     }
 
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -33,7 +33,7 @@
             clock,
             balancer_config,
             seed: 1,
-            max_open_requests: 8,
+            max_pending_requests: 8,
             pool: Rc::new(ConnectionPool::new(clock, second, second, 8)),
             events: sender,
             poll_requested: Rc::default(),
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -1,6 +1,6 @@
 //! The state of one client connection: its phase, its timeouts and pending requests to close it.
 
-use super::client_socket::{ClientPresence, ClientSocket};
+use super::client_socket::{ClientSocket, DisconnectDetector};
 use brookstack_balancer::{Micros, Time};
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -39,7 +39,7 @@
 /// The state of a client connection, shared by its task and the connection table.
 pub(super) struct ClientConnection {
     opened_at: Time,
-    presence: ClientPresence,
+    disconnect_detector: DisconnectDetector,
     phase: Cell<ConnectionPhase>,
     /// Whether a response to any request on this connection was produced.
     has_served_request: Cell<bool>,
@@ -52,10 +52,10 @@
 
 impl ClientConnection {
     /// Creates the state of a connection that was accepted at `now`.
-    pub(super) fn new(now: Time, presence: ClientPresence) -> ClientConnection {
+    pub(super) fn new(now: Time, disconnect_detector: DisconnectDetector) -> ClientConnection {
         ClientConnection {
             opened_at: now,
-            presence,
+            disconnect_detector,
             phase: Cell::new(ConnectionPhase::AwaitingHead { since: now }),
             has_served_request: Cell::new(false),
             last_request_rejected: Cell::new(false),
@@ -80,8 +80,8 @@
     }
 
     /// Returns a handle for checking whether the client has disconnected.
-    pub(super) fn presence(&self) -> ClientPresence {
-        self.presence.clone()
+    pub(super) fn disconnect_detector(&self) -> DisconnectDetector {
+        self.disconnect_detector.clone()
     }
 
     /// Records that the head of a request has arrived.
--- a/crates/proxy/src/server/client_socket.rs
+++ b/crates/proxy/src/server/client_socket.rs
@@ -23,7 +23,7 @@
 /// stack.
 const READ_CHUNK_BYTES: usize = 4 << 10;
 
-/// The state that a [`ClientSocket`] and its [`ClientPresence`] share.
+/// The state that a [`ClientSocket`] and its [`DisconnectDetector`] share.
 struct SharedSocket {
     stream: TcpStream,
     /// Bytes that were read while checking for a disconnect. The next reads return them first.
@@ -83,8 +83,8 @@
     }
 
     /// Returns a handle for checking whether the client has disconnected.
-    pub fn presence(&self) -> ClientPresence {
-        ClientPresence(Rc::downgrade(&self.0))
+    pub fn disconnect_detector(&self) -> DisconnectDetector {
+        DisconnectDetector(Rc::downgrade(&self.0))
     }
 
     /// Whether bytes from the client were discarded.
@@ -104,9 +104,9 @@
 /// A weak handle for checking whether a client is still connected. It does not keep the connection
 /// open.
 #[derive(Clone)]
-pub struct ClientPresence(Weak<RefCell<SharedSocket>>);
+pub struct DisconnectDetector(Weak<RefCell<SharedSocket>>);
 
-impl ClientPresence {
+impl DisconnectDetector {
     /// Whether the client has closed or reset the connection, or the proxy has dropped it. This
     /// reads directly from the socket: the runtime learns of a disconnect only when it next polls
     /// the operating system, and may handle other events that arrived at the same time before that.
--- a/crates/proxy/src/server/client_socket/tests.rs
+++ b/crates/proxy/src/server/client_socket/tests.rs
@@ -26,13 +26,13 @@
         (3 * MAX_READ_AHEAD_BYTES, false),
     ] {
         let (mut client, socket) = connect().await;
-        let presence = socket.presence();
-        assert!(!presence.has_disconnected());
+        let disconnect_detector = socket.disconnect_detector();
+        assert!(!disconnect_detector.has_disconnected());
         client
             .write_all(&vec![b'x'; sent_bytes])
             .expect("bytes written");
         assert!(
-            !presence.has_disconnected(),
+            !disconnect_detector.has_disconnected(),
             "a client that sent {sent_bytes} bytes must count as connected"
         );
         assert_eq!(
@@ -46,7 +46,7 @@
         }
         drop(client);
         assert!(
-            presence.has_disconnected(),
+            disconnect_detector.has_disconnected(),
             "disconnect not detected after {sent_bytes} bytes, reset {reset}"
         );
         wait_until_poll_disconnected_is_ready(&socket).await;
@@ -62,9 +62,9 @@
 #[tokio::test]
 async fn bytes_read_while_checking_for_a_disconnect_are_returned_by_later_reads() {
     let (mut client, mut socket) = connect().await;
-    let presence = socket.presence();
+    let disconnect_detector = socket.disconnect_detector();
     client.write_all(b"one").expect("bytes written");
-    assert!(!presence.has_disconnected());
+    assert!(!disconnect_detector.has_disconnected());
     client.write_all(b"two").expect("bytes written");
     let mut received = [0; 6];
     socket
@@ -74,7 +74,7 @@
     assert_eq!(&received, b"onetwo");
     drop(socket);
     assert!(
-        presence.has_disconnected(),
+        disconnect_detector.has_disconnected(),
         "a client whose socket the proxy has dropped must count as disconnected"
     );
 }
--- a/crates/proxy/src/server/connection_task.rs
+++ b/crates/proxy/src/server/connection_task.rs
@@ -101,7 +101,10 @@
         let _ = stream.set_nodelay(true);
         let socket = ClientSocket::new(stream);
         let id = self.next_id();
-        let connection = Rc::new(ClientConnection::new(self.clock.now(), socket.presence()));
+        let connection = Rc::new(ClientConnection::new(
+            self.clock.now(),
+            socket.disconnect_detector(),
+        ));
         self.connections.insert(id, connection.clone());
         tokio::task::spawn_local(async move {
             let _guard = self.connections.guard(id);
--- a/crates/proxy/src/server/request_handler.rs
+++ b/crates/proxy/src/server/request_handler.rs
@@ -151,7 +151,7 @@
         connection: &ClientConnection,
     ) -> FinalResponse {
         let deadline = self.deadline(request.arrived_at, request.metadata.time_left);
-        let presence = connection.presence();
+        let disconnect_detector = connection.disconnect_detector();
         let (reply, response) = oneshot::channel();
         let incoming = IncomingRequest {
             id: guard.id,
@@ -163,7 +163,7 @@
             forwarded: Rc::new(ForwardedRequest {
                 head: forwarded_head(request.head),
                 body: request.body,
-                client_disconnected: Box::new(move || presence.has_disconnected()),
+                client_disconnected: Box::new(move || disconnect_detector.has_disconnected()),
             }),
             reply,
         };
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -153,7 +153,7 @@
     Rc::new(ConnectionPool::new(
         shared.clock,
         config.connect_timeout,
-        config.idle_timeout,
+        config.backend_idle_timeout,
         max_connections,
     ))
 }
@@ -212,7 +212,7 @@
         clock: shared.clock,
         balancer_config: config.balancer,
         seed: config.seed,
-        max_open_requests: config.max_open_requests,
+        max_pending_requests: config.max_pending_requests,
         pool,
         events: shared.events.clone(),
         poll_requested: shared.poll_requested.clone(),
