--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -25,9 +25,9 @@
 /// unresponsive agent. Frequent calls cost the agent nothing.
 const PUSH_WAIT: Duration = Duration::from_secs(4);
 /// The range of the wait of a call to the central service, in seconds. The wait is long because
-/// each call causes work for the service. It is random because all proxies start their next call at
-/// the same time after a change of the list. With equal waits these calls would also end at the
-/// same time, and the service would receive all of the next calls at the same time.
+/// each call causes work for the service. It is random because a change of the list ends the calls
+/// of all proxies, which then start their next calls together. With equal waits these calls would
+/// also end together, and the service would again receive all of the next calls together.
 const POLL_WAIT_SECONDS: Range<f64> = 15.0..25.0;
 /// The time after the end of its wait at which an unanswered call times out. The service ends a
 /// wait with millisecond precision, so a response that has not arrived by then will not arrive. The
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -43,8 +43,9 @@
 
 /// The driver's state that other parts of the proxy read.
 #[derive(Default)]
-pub struct Status {
-    /// Whether any backend on the endpoint list accepts requests.
+pub struct DriverStatus {
+    /// Whether the proxy can serve requests: some backend on the endpoint list accepts requests,
+    /// and the driver has not panicked.
     pub serving: Cell<bool>,
 }
 
@@ -66,7 +67,7 @@
     /// Notified when the balancer requests a poll of discovery.
     pub poll_requested: Rc<Notify>,
     /// The driver's state that other parts of the proxy read.
-    pub status: Rc<Status>,
+    pub status: Rc<DriverStatus>,
 }
 
 /// Runs the balancer and carries out its decisions; see the [module](self).
@@ -81,7 +82,7 @@
     event_sender: mpsc::UnboundedSender<DriverEvent>,
     /// Notified when the balancer requests a poll of discovery.
     poll_requested: Rc<Notify>,
-    status: Rc<Status>,
+    status: Rc<DriverStatus>,
 }
 
 impl Driver {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -21,7 +21,7 @@
 mod shutdown;
 
 use crate::clock::Clock;
-use crate::driver::Status;
+use crate::driver::DriverStatus;
 use crate::message::DriverEvent;
 use body_memory::BodyMemory;
 use brookstack_balancer::settings::Names;
@@ -66,7 +66,7 @@
     tick: Micros,
     body_memory: BodyMemory,
     driver_events: mpsc::UnboundedSender<DriverEvent>,
-    status: Rc<Status>,
+    status: Rc<DriverStatus>,
     /// The identifier that was last given to a connection or a request.
     last_id: Cell<u64>,
     /// Set when SIGTERM or SIGINT has begun a graceful shutdown.
@@ -82,7 +82,7 @@
         config: ServerConfig,
         clock: Clock,
         driver_events: mpsc::UnboundedSender<DriverEvent>,
-        status: Rc<Status>,
+        status: Rc<DriverStatus>,
     ) -> Server {
         Server {
             clock,
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -10,7 +10,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::EndpointWatcher;
-use crate::driver::{Driver, DriverParts, Status};
+use crate::driver::{Driver, DriverParts, DriverStatus};
 use crate::message::DriverEvent;
 use crate::reload::reload_on_sighup;
 use crate::server::{Server, ServerConfig};
@@ -115,7 +115,7 @@
     /// discovery.
     poll_requested: Rc<Notify>,
     /// The status that the driver reports to the server.
-    status: Rc<Status>,
+    status: Rc<DriverStatus>,
 }
 
 impl Shared {
@@ -223,7 +223,11 @@
 
 /// Runs the driver in its own task. If that task panics, every request fails. The proxy then
 /// reports that it is not ready, so that it receives no more requests.
-fn spawn_driver(driver: Driver, events: mpsc::UnboundedReceiver<DriverEvent>, status: Rc<Status>) {
+fn spawn_driver(
+    driver: Driver,
+    events: mpsc::UnboundedReceiver<DriverEvent>,
+    status: Rc<DriverStatus>,
+) {
     let driver_task = tokio::task::spawn_local(driver.run(events));
     tokio::task::spawn_local(async move {
         if let Err(error) = driver_task.await {
