--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -40,20 +40,22 @@
     pub max_descriptors: usize,
     /// The memory limit of the process, in bytes.
     pub memory_limit_bytes: usize,
-    /// The last endpoint list that an earlier run of this proxy held, if the file contains one.
+    /// The last endpoint list of an earlier run of this proxy, if the file contains one.
     pub cached_endpoints: Option<EndpointList>,
     /// The configuration of the balancer.
     pub balancer: brookstack_balancer::Config,
     /// Maps the configured names of classes and tenants to the balancer's identifiers.
     pub names: Names,
-    /// The maximum number of open requests. Requests beyond it are rejected before they reach the
-    /// balancer.
-    pub max_open_requests: usize,
-    /// The time after which backends close idle connections at the latest.
-    pub idle_timeout: Micros,
+    /// The maximum number of requests that wait for their response or have attempts in flight.
+    /// Requests beyond it are rejected before they reach the balancer.
+    pub max_pending_requests: usize,
+    /// The idle timeout of the backends: they close an idle connection after this time at the
+    /// latest.
+    pub backend_idle_timeout: Micros,
     /// The time after which an attempt to connect to a backend counts as failed.
     pub connect_timeout: Micros,
-    /// The longest deadline of any class. No client waits longer for a response.
+    /// The longest deadline of any class, and the longest time that a client may wait for a
+    /// response.
     pub longest_deadline: Micros,
     /// The maximum size of an endpoint list's JSON text, in bytes.
     pub max_list_bytes: usize,
@@ -107,8 +109,8 @@
         max_list_bytes: (memory_limit_bytes / LIST_MEMORY_DIVISOR).max(MIN_LIST_BYTES),
         balancer,
         names,
-        max_open_requests: request_limits.get("open_cap").count()? as usize,
-        idle_timeout: request_limits.get("conn_idle_us").micros()?,
+        max_pending_requests: request_limits.get("open_cap").count()? as usize,
+        backend_idle_timeout: request_limits.get("conn_idle_us").micros()?,
         connect_timeout: request_limits.get("dial_timeout_us").micros()?,
         longest_deadline: longest_deadline(&settings)?,
         cached_endpoints: document.cached_endpoints,
--- a/crates/proxy/src/connection_pool.rs
+++ b/crates/proxy/src/connection_pool.rs
@@ -27,7 +27,8 @@
     /// The proxy has no free socket. This does not count against the backend.
     #[error("no free socket for a connection to the backend")]
     NoFreeSocket,
-    /// The backend refused the connection, or did not accept it within the time limit.
+    /// The backend refused the connection or did not accept it within the time limit, or HTTP could
+    /// not be set up on it.
     #[error("could not connect to the backend")]
     Failed,
 }
@@ -43,7 +44,8 @@
 
 /// An idle connection that was taken from the pool.
 pub struct ReusedConnection {
-    /// The time at which its last request ended.
+    /// The time at which its last request ended, or at which it was established if it has not been
+    /// used.
     pub idle_since: Time,
     /// The connection, which can take a request.
     pub connection: BackendConnection,
@@ -53,7 +55,7 @@
 pub struct ConnectionPool {
     /// The clock for idle times and deadlines.
     pub clock: Clock,
-    dial_timeout: Micros,
+    connect_timeout: Micros,
     idle_timeout: Micros,
     /// The number of open sockets to backends.
     sockets: Rc<Cell<usize>>,
@@ -68,17 +70,18 @@
 impl ConnectionPool {
     /// Creates a pool without connections.
     ///
-    /// `backend_idle_timeout` is the time after which backends close an idle connection.
+    /// `backend_idle_timeout` is the time after which backends close an idle connection at the
+    /// latest.
     /// `max_sockets` limits the number of all connections, including idle ones.
     pub fn new(
         clock: Clock,
-        dial_timeout: Micros,
+        connect_timeout: Micros,
         backend_idle_timeout: Micros,
         max_sockets: usize,
     ) -> ConnectionPool {
         ConnectionPool {
             clock,
-            dial_timeout,
+            connect_timeout,
             idle_timeout: backend_idle_timeout.times(IDLE_TIMEOUT_FRACTION),
             sockets: Rc::default(),
             max_sockets,
@@ -121,7 +124,8 @@
     }
 
     /// Takes the upstream's most recently used idle connection. Connections that have been idle for
-    /// too long or that the backend has closed are dropped. Returns `None` if there is no other.
+    /// too long or that the backend has closed are dropped. Returns `None` if no usable one is
+    /// left.
     pub async fn take_idle(&self, upstream: &Upstream) -> Option<ReusedConnection> {
         loop {
             let IdleConnection {
@@ -168,7 +172,7 @@
             return Err(ConnectError::NoFreeSocket);
         }
         let socket = CountGuard::new(&self.sockets);
-        let timeout = duration(self.dial_timeout);
+        let timeout = duration(self.connect_timeout);
         let stream = match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if is_out_of_descriptors(&error) => {
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! Watches the endpoint list by long polling. The proxy makes calls to discovery one after the
-//! other. Each call specifies a wait, and the service holds the call open until the list changes or
-//! the wait ends.
+//! other. A call for the complete list specifies no wait. A call for the changes after a version
+//! specifies a wait, and discovery holds it open until the list changes or the wait ends.
 //!
 //! The list comes either from a central service that all proxies poll, or from a local agent that
 //! pushes changes. In both cases a proxy counts as notified of a change soon after the service or
@@ -25,9 +25,9 @@
 /// unresponsive agent. Frequent calls cost the agent nothing.
 const PUSH_WAIT: Duration = Duration::from_secs(4);
 /// The range of the wait of a call to the central service, in seconds. The wait is long because
-/// each call causes work for the service. It is random because all proxies start their next call at
-/// the same time after a change of the list. With equal waits these calls would also end at the
-/// same time, and the service would receive all of the next calls at the same time.
+/// each call causes work for the service. It is random because a change of the list ends the calls
+/// of all proxies, which then start their next calls together. With equal waits these calls would
+/// also end together, and the service would again receive all of the next calls together.
 const POLL_WAIT_SECONDS: Range<f64> = 15.0..25.0;
 /// The time after the end of its wait at which an unanswered call times out. The service ends a
 /// wait with millisecond precision, so a response that has not arrived by then will not arrive. The
@@ -82,10 +82,10 @@
 
 /// Watches the endpoint list and sends each change to the driver.
 pub struct EndpointWatcher {
-    /// Whether a local agent pushes changes, or the central service is called when the balancer
-    /// requests it.
+    /// Whether a local agent pushes changes, or the central service is polled. The first call to
+    /// the service and each call after a failure wait until the balancer requests a poll.
     pub mode: DiscoveryMode,
-    /// The version of the list that the proxy holds. If `None`, the next call requests the complete
+    /// The version of the proxy's current list. If `None`, the next call requests the complete
     /// list.
     pub version: Option<u64>,
     /// Notified when the balancer requests a poll.
@@ -109,13 +109,13 @@
             // be held open, and the agent would not send the changes that it has.
             self.version = None;
         }
-        // An agent is called immediately. The central service is called when the balancer requests
-        // it.
-        let mut poll_at_once = self.is_push();
+        // The first call to an agent is made immediately, the first call to the central service
+        // when the balancer requests a poll.
+        let mut poll_immediately = self.is_push();
         loop {
             let address = *addresses.borrow_and_update();
             tokio::select! {
-                never = self.watch(address, poll_at_once) => match never {},
+                never = self.watch(address, poll_immediately) => match never {},
                 changed = addresses.changed() => {
                     if changed.is_err() {
                         return; // the program ends
@@ -123,7 +123,7 @@
                     // The new service is called immediately, even during a pause after a failure of
                     // the old one.
                     self.version = None;
-                    poll_at_once = true;
+                    poll_immediately = true;
                 }
             }
         }
@@ -131,17 +131,17 @@
 
     /// Watches the list at one address. After a response the next call is made immediately, so that
     /// no change is missed between two calls.
-    async fn watch(&mut self, address: SocketAddr, mut poll_at_once: bool) -> Infallible {
+    async fn watch(&mut self, address: SocketAddr, mut poll_immediately: bool) -> Infallible {
         let mut connection = None;
         let mut backoff = Backoff::new();
         loop {
-            if !poll_at_once {
+            if !poll_immediately {
                 self.poll_requested.notified().await;
             }
             let wait = self.next_wait();
             match self.poll(&mut connection, address, wait).await {
                 Ok(list) => {
-                    poll_at_once = true;
+                    poll_immediately = true;
                     backoff = Backoff::new();
                     self.handle_list(list);
                 }
@@ -151,7 +151,7 @@
                          the current endpoint list stays in use until a call succeeds"
                     );
                     connection = None;
-                    poll_at_once = self.is_push();
+                    poll_immediately = self.is_push();
                     self.handle_failure(&error, &mut backoff).await;
                 }
             }
@@ -178,9 +178,9 @@
 
     /// Records the version of a list and sends the list to the driver.
     fn handle_list(&mut self, list: EndpointList) {
-        // A delta that is older than the held list comes from a service that has restarted and
+        // A delta that is older than the current list comes from a service that has restarted and
         // counts versions from the start again. The next call then requests the complete list.
-        let is_older = !list.is_snapshot && self.version.is_some_and(|held| list.version < held);
+        let is_older = !list.is_snapshot && self.version.is_some_and(|last| list.version < last);
         self.version = (!is_older).then_some(list.version);
         let update = if list.is_snapshot {
             EndpointUpdate::Snapshot
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Requests the changes since the held version, or the complete list if no version is held.
+    /// Requests the changes since the current version, or the complete list if there is no version.
     /// Uses the open connection if there is one, otherwise opens a new one.
     async fn get_list(
         &self,
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -43,8 +43,9 @@
 
 /// The driver's state that other parts of the proxy read.
 #[derive(Default)]
-pub struct Status {
-    /// Whether any backend on the endpoint list accepts requests.
+pub struct DriverStatus {
+    /// Whether the proxy can serve requests: some backend on the endpoint list accepts requests,
+    /// and the driver has not panicked.
     pub serving: Cell<bool>,
 }
 
@@ -56,32 +57,32 @@
     pub balancer_config: Config,
     /// The seed of the balancer's random number generator.
     pub seed: u64,
-    /// The largest number of pending requests. Requests beyond it are rejected without asking the
+    /// The maximum number of pending requests. Requests beyond it are rejected without asking the
     /// balancer.
-    pub max_open_requests: usize,
+    pub max_pending_requests: usize,
     /// The pool of connections to backends.
     pub pool: Rc<ConnectionPool>,
     /// The channel on which attempts report their end. [`Driver::run`] gets its receiver.
     pub events: mpsc::UnboundedSender<DriverEvent>,
-    /// Notified when the balancer wants the endpoint list to be watched or polled.
+    /// Notified when the balancer requests a poll of discovery.
     pub poll_requested: Rc<Notify>,
     /// The driver's state that other parts of the proxy read.
-    pub status: Rc<Status>,
+    pub status: Rc<DriverStatus>,
 }
 
 /// Runs the balancer and carries out its decisions; see the [module](self).
 pub struct Driver {
     clock: Clock,
-    max_open_requests: usize,
+    max_pending_requests: usize,
     balancer: BalancerHost,
     pending: PendingRequests,
     upstreams: Upstreams,
     pool: Rc<ConnectionPool>,
     /// The channel on which attempts report their end.
     event_sender: mpsc::UnboundedSender<DriverEvent>,
-    /// Notified when the balancer wants the endpoint list to be watched or polled.
+    /// Notified when the balancer requests a poll of discovery.
     poll_requested: Rc<Notify>,
-    status: Rc<Status>,
+    status: Rc<DriverStatus>,
 }
 
 impl Driver {
@@ -92,7 +93,7 @@
         let grace_period = Micros(RESPONSE_GRACE_TICKS * tick.0);
         Ok(Driver {
             clock: parts.clock,
-            max_open_requests: parts.max_open_requests,
+            max_pending_requests: parts.max_pending_requests,
             balancer: BalancerHost::new(parts.balancer_config, parts.seed)?,
             pending: PendingRequests::new(grace_period),
             upstreams: Upstreams::default(),
@@ -164,8 +165,9 @@
         tokio::task::spawn_local(async move { pool.close_expired().await });
     }
 
-    /// Handles the part of an event that cannot wait for the balancer's tick. For example, a
-    /// successful response is sent to its client immediately.
+    /// Handles an event. What does not need a decision of the balancer is done immediately: for
+    /// example, a response that can be forwarded is sent to its client. The rest is reported to the
+    /// balancer for its next tick.
     fn handle_event(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::RequestArrived(incoming) => self.accept_request(incoming),
@@ -178,7 +180,7 @@
     }
 
     fn accept_request(&mut self, incoming: IncomingRequest) {
-        if self.pending.len() >= self.max_open_requests {
+        if self.pending.len() >= self.max_pending_requests {
             // The request is passed to neither the balancer nor a backend.
             let retry_after = self.balancer.retry_after();
             let _ = incoming.reply.send(FinalResponse::Rejected(retry_after));
@@ -199,7 +201,8 @@
         if self.pending.disconnect(request) {
             self.balancer.report(Event::ClientDisconnected { request });
             let now = self.clock.now();
-            self.pending.settle(request, now, &mut self.balancer);
+            self.pending
+                .abort_unsent_attempts(request, now, &mut self.balancer);
         }
     }
 
@@ -225,7 +228,8 @@
             .report(attempt.finished(now, &result, settled));
         if settled {
             let now = self.clock.now();
-            self.pending.settle(id.request, now, &mut self.balancer);
+            self.pending
+                .abort_unsent_attempts(id.request, now, &mut self.balancer);
         }
     }
 
--- a/crates/proxy/src/server/client_connection.rs
+++ b/crates/proxy/src/server/client_connection.rs
@@ -1,6 +1,6 @@
 //! The state of one client connection: its phase, its timeouts and pending requests to close it.
 
-use super::client_socket::{ClientPresence, ClientSocket};
+use super::client_socket::{ClientSocket, DisconnectDetector};
 use brookstack_balancer::{Micros, Time};
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -27,7 +27,8 @@
 /// What a connection is waiting for.
 #[derive(Clone, Copy)]
 pub(super) enum ConnectionPhase {
-    /// Waiting for the complete head of the next request since the given time.
+    /// Waiting for the complete head of the next request since the given time. The response to the
+    /// previous request may not be written completely yet.
     AwaitingHead { since: Time },
     /// Waiting for the body of a request whose head has arrived.
     ReadingBody,
@@ -38,7 +39,7 @@
 /// The state of a client connection, shared by its task and the connection table.
 pub(super) struct ClientConnection {
     opened_at: Time,
-    presence: ClientPresence,
+    disconnect_detector: DisconnectDetector,
     phase: Cell<ConnectionPhase>,
     /// Whether a response to any request on this connection was produced.
     has_served_request: Cell<bool>,
@@ -51,10 +52,10 @@
 
 impl ClientConnection {
     /// Creates the state of a connection that was accepted at `now`.
-    pub(super) fn new(now: Time, presence: ClientPresence) -> ClientConnection {
+    pub(super) fn new(now: Time, disconnect_detector: DisconnectDetector) -> ClientConnection {
         ClientConnection {
             opened_at: now,
-            presence,
+            disconnect_detector,
             phase: Cell::new(ConnectionPhase::AwaitingHead { since: now }),
             has_served_request: Cell::new(false),
             last_request_rejected: Cell::new(false),
@@ -79,8 +80,8 @@
     }
 
     /// Returns a handle for checking whether the client has disconnected.
-    pub(super) fn presence(&self) -> ClientPresence {
-        self.presence.clone()
+    pub(super) fn disconnect_detector(&self) -> DisconnectDetector {
+        self.disconnect_detector.clone()
     }
 
     /// Records that the head of a request has arrived.
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -10,7 +10,7 @@
 use crate::connection_pool::ConnectionPool;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::EndpointWatcher;
-use crate::driver::{Driver, DriverParts, Status};
+use crate::driver::{Driver, DriverParts, DriverStatus};
 use crate::message::DriverEvent;
 use crate::reload::reload_on_sighup;
 use crate::server::{Server, ServerConfig};
@@ -111,11 +111,11 @@
     clock: Clock,
     /// Sends events to the driver.
     events: mpsc::UnboundedSender<DriverEvent>,
-    /// The driver uses this to notify the endpoint watcher that the balancer requests a poll of
+    /// The driver notifies the endpoint watcher with this when the balancer requests a poll of
     /// discovery.
     poll_requested: Rc<Notify>,
     /// The status that the driver reports to the server.
-    status: Rc<Status>,
+    status: Rc<DriverStatus>,
 }
 
 impl Shared {
@@ -153,7 +153,7 @@
     Rc::new(ConnectionPool::new(
         shared.clock,
         config.connect_timeout,
-        config.idle_timeout,
+        config.backend_idle_timeout,
         max_connections,
     ))
 }
@@ -212,7 +212,7 @@
         clock: shared.clock,
         balancer_config: config.balancer,
         seed: config.seed,
-        max_open_requests: config.max_open_requests,
+        max_pending_requests: config.max_pending_requests,
         pool,
         events: shared.events.clone(),
         poll_requested: shared.poll_requested.clone(),
@@ -223,7 +223,11 @@
 
 /// Runs the driver in its own task. If that task panics, every request fails. The proxy then
 /// reports that it is not ready, so that it receives no more requests.
-fn spawn_driver(driver: Driver, events: mpsc::UnboundedReceiver<DriverEvent>, status: Rc<Status>) {
+fn spawn_driver(
+    driver: Driver,
+    events: mpsc::UnboundedReceiver<DriverEvent>,
+    status: Rc<DriverStatus>,
+) {
     let driver_task = tokio::task::spawn_local(driver.run(events));
     tokio::task::spawn_local(async move {
         if let Err(error) = driver_task.await {
