--- a/crates/balancer/tests/slow_start_fleet/main.rs
+++ b/crates/balancer/tests/slow_start_fleet/main.rs
@@ -4,7 +4,7 @@
 //!
 //! The results are printed with `--nocapture`.
 
-mod agenda;
+mod event_queue;
 mod report;
 mod scenario;
 mod simulation;
--- a/crates/balancer/tests/slow_start_fleet/simulation.rs
+++ b/crates/balancer/tests/slow_start_fleet/simulation.rs
@@ -1,6 +1,6 @@
 //! A discrete-event simulation of many balancers that do not communicate and use the same backends.
 
-use crate::agenda::{EventQueue, FinishedAttempt, SimulationEvent};
+use crate::event_queue::{EventQueue, FinishedAttempt, SimulationEvent};
 use crate::report::{Dispatch, Report};
 use crate::scenario::{Scenario, FAULT_AT, OVERLOAD_WINDOW, SLOW_START_DURATION, START};
 use brookstack_balancer::*;
