--- a/crates/proxy/tests/backend_resets.rs
+++ b/crates/proxy/tests/backend_resets.rs
@@ -28,7 +28,11 @@
     let response = send_request(&proxy, &request("pay", 2000));
     assert_eq!(response.status(), 502);
     let counter = ByteCounter::start(backend.join().unwrap(), TEST_TIMEOUT);
-    assert_eq!(counter.finish(), 0, "bytes on other connections");
+    assert_eq!(
+        counter.finish(),
+        0,
+        "the request was retried: bytes on other connections"
+    );
 }
 
 /// Accepts a connection, responds to its first request and resets it after the second one.
@@ -49,9 +53,9 @@
 }
 
 /// The response and the reset arrive at the same time. The client must get one response, and the
-/// request must be executed once.
+/// request must not be sent to another backend.
 #[test]
-fn a_reset_right_after_the_response_leads_to_one_response_and_one_execution() {
+fn a_reset_right_after_the_response_leads_to_one_response_and_no_request_to_another_backend() {
     let resetting = start_resetting_backend();
     let other = FakeBackend::responding_ok("x");
     let discovery = FakeDiscovery::start();
@@ -70,7 +74,7 @@
             "a second response to the first request: {next_status:?}"
         );
     }
-    assert_eq!(other.request_count(), 0);
+    assert_eq!(other.request_count(), 0, "requests to the other backend");
 }
 
 /// Starts a backend that responds to one request on each connection and then resets the connection
--- a/crates/proxy/tests/client_cancellation.rs
+++ b/crates/proxy/tests/client_cancellation.rs
@@ -65,12 +65,17 @@
     wait_until("the connect is abandoned", || {
         !backend.has_pending_connect()
     });
-    assert_eq!(backend.count_received_bytes(), 0, "{case:?}");
+    assert_eq!(
+        backend.count_received_bytes(),
+        0,
+        "bytes sent to the backend: {case:?}"
+    );
 }
 
-/// The proxy must notice a client's close even behind far more bytes than the proxy reads ahead.
+/// The proxy must notice a client's close even if the client has sent far more bytes before it than
+/// the proxy reads ahead.
 #[test]
-fn an_attempt_is_cancelled_if_its_client_closes_after_sending_much_more() {
+fn an_attempt_is_cancelled_if_its_client_closes_after_pipelined_requests() {
     let backend = FakeBackend::unresponsive();
     let discovery = FakeDiscovery::start();
     let endpoints = [ready("a", backend.address)];
@@ -91,7 +96,7 @@
     assert_eq!(
         backend.request_count(),
         3,
-        "no pipelined request was forwarded"
+        "a pipelined request was forwarded"
     );
 }
 
@@ -124,7 +129,7 @@
     assert_eq!(
         backend.request_count(),
         1,
-        "cancellation allowed: {cancellation_allowed}"
+        "a dropped request was sent, cancellation allowed: {cancellation_allowed}"
     );
 }
 
@@ -142,12 +147,16 @@
     });
     assert!(
         proxy.is_pending(&text),
-        "the request waits for another backend"
+        "the request ended instead of waiting for another backend"
     );
     client.close(CloseMode::Fin);
     wait_until("the request is dropped", || !proxy.is_pending(&text));
     discovery.apply_snapshot(&[ready("b", other.address)]);
     let response = send_request(&proxy, &request("pay", 7000));
     assert_eq!(response.status(), 200);
-    assert_eq!(other.request_count(), 1);
+    assert_eq!(
+        other.request_count(),
+        1,
+        "the request of the closed client was retried"
+    );
 }
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -23,18 +23,21 @@
     assert_eq!(
         without_body.read_status(),
         Some(408),
-        "the last byte of the body never arrives"
+        "wrong response to a request whose body stays incomplete"
     );
     for client in &mut incomplete {
         assert!(client.wait_for_close());
     }
     let elapsed = start.elapsed();
-    assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
+    assert!(
+        elapsed < Duration::from_secs(4),
+        "the connections were closed only after {elapsed:?}"
+    );
     idle.send(&request("read", 7000));
     assert_eq!(
         idle.read_status(),
         Some(200),
-        "a connection on which a request was answered stays open longer"
+        "a connection on which a request was answered was closed as early as the others"
     );
     assert!(idle.wait_for_close());
     assert_eq!(backend.request_count(), 2);
@@ -59,7 +62,10 @@
     let _unused: Vec<Client> = (0..200).map(|_| Client::connect(proxy.address)).collect();
     assert_reads_succeed(&proxy, 1);
     let elapsed = start.elapsed();
-    assert!(elapsed < Duration::from_secs(8), "{elapsed:?}");
+    assert!(
+        elapsed < Duration::from_secs(8),
+        "the new client was served only after {elapsed:?}"
+    );
 }
 
 /// A proxy that runs out of descriptors keeps running and serves again when descriptors are free.
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,7 +1,6 @@
-//! After a client has closed its connection, not a single byte of its request is sent to a backend.
-//! Each test pauses the proxy while two things arrive: first the event that makes the proxy send
-//! the request, and then the client's close. When the proxy continues, it finds both at the same
-//! time.
+//! After a client has closed its connection, its request is not sent to a backend. Each test pauses
+//! the proxy while two things arrive: first the event that makes the proxy send the request, and
+//! then the client's close. When the proxy continues, it finds both at the same time.
 
 mod support;
 
@@ -87,8 +86,9 @@
     backends.iter().map(held_request_count).sum()
 }
 
-/// Waits until the proxy serves a new request, by which time it has handled all that arrived
-/// before. Requests that the balancer rejects meanwhile are not sent to a backend.
+/// Waits until the proxy serves a new request, by which time it has handled everything that arrived
+/// before that request. New requests that the balancer rejects meanwhile are not sent to a backend,
+/// so a test counts exactly one.
 fn wait_until_served_again(proxy: &ProxyProcess) {
     wait_until("a request is served", || {
         send_request(proxy, &request("pay", 8_000)).status() == 200
@@ -115,7 +115,11 @@
         close_all(clients, case.close_mode);
         proxy.resume();
         proxy.wait_until_ready();
-        assert_eq!(backend.count_received_bytes(), 0, "{case:?}");
+        assert_eq!(
+            backend.count_received_bytes(),
+            0,
+            "bytes sent to the backend: {case:?}"
+        );
     }
 }
 
@@ -147,7 +151,11 @@
             proxy.readiness_status() == 200
         });
         wait_until_served_again(&proxy);
-        assert_eq!(backend.request_count(), 1, "{case:?}");
+        assert_eq!(
+            backend.request_count(),
+            1,
+            "requests of closed clients were sent: {case:?}"
+        );
     }
 }
 
@@ -203,7 +211,8 @@
             requests.last().is_some_and(|request| !is_held(request))
         })
     });
-    assert_eq!(total_held_requests(&backends), 1, "{class}, {case:?}");
+    let sent = total_held_requests(&backends);
+    assert_eq!(sent, 1, "the request was retried: {class}, {case:?}");
 }
 
 /// The client sends two complete requests on one connection and closes it while the backend answers
@@ -231,7 +240,11 @@
             client.close(case.close_mode);
             proxy.resume();
             wait_until_served_again(&proxy);
-            assert_eq!(backend.request_count(), 3, "{class}, {case:?}");
+            assert_eq!(
+                backend.request_count(),
+                3,
+                "the pipelined request was sent: {class}, {case:?}"
+            );
         }
     }
 }
@@ -266,6 +279,10 @@
         close_all(clients, case.close_mode);
         proxy.resume();
         wait_until_served_again(&proxy);
-        assert_eq!(backend.request_count(), 2, "{case:?}");
+        assert_eq!(
+            backend.request_count(),
+            2,
+            "requests of closed clients were sent: {case:?}"
+        );
     }
 }
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -7,6 +7,7 @@
 
 /// Guards against two failures. Without a handler, SIGHUP would end the process. With a handler
 /// that does not reload the file, the proxy would go on polling the old discovery address for ever.
+/// In addition, an invalid file must change nothing, and SIGHUP must not disturb a shutdown.
 #[test]
 fn sighup_switches_polling_to_the_new_discovery_address() {
     let a = FakeBackend::responding_ok("a");
@@ -25,7 +26,7 @@
     let log = proxy.log();
     assert!(
         log.contains("take effect only after a restart: limits.sockets"),
-        "{log}"
+        "the log does not name the changed setting that needs a restart: {log}"
     );
     wait_until(
         "the connection to the first discovery service is closed",
@@ -71,7 +72,12 @@
         wait_until("the error is logged", || {
             proxy.log().contains(case.expected_error)
         });
-        assert_eq!(proxy.log().lines().count(), 1, "{}", proxy.log());
+        assert_eq!(
+            proxy.log().lines().count(),
+            1,
+            "the error takes more than one line: {}",
+            proxy.log()
+        );
     }
 }
 
--- a/crates/proxy/tests/connection_pool.rs
+++ b/crates/proxy/tests/connection_pool.rs
@@ -57,8 +57,8 @@
 }
 
 /// A backend that has reached its limit on connections rejects the request on a new connection and
-/// closes the connection. Another proxy cannot open a connection that this one keeps idle, so this
-/// one closes half of its idle connections.
+/// closes the connection. Each connection that this proxy keeps idle takes the place of one that
+/// another proxy may need, so this proxy closes half of its idle connections.
 #[test]
 fn half_of_the_idle_connections_are_closed_when_a_backend_rejects_a_connection() {
     let accepting: Vec<FakeBackend> = (0..4).map(|_| FakeBackend::responding_ok("x")).collect();
@@ -91,7 +91,7 @@
         assert_eq!(
             response.status(),
             200,
-            "the request is retried on another backend"
+            "the request was not retried on another backend"
         );
         saturated.request_count() > 0
     });
--- a/crates/proxy/tests/descriptor_limits.rs
+++ b/crates/proxy/tests/descriptor_limits.rs
@@ -63,18 +63,18 @@
             proxy.open_descriptors() >= limits.open_when_saturated
         });
         let discovery = FakeDiscovery::start_at(discovery_address);
-        wait_until("the watch resumes", || discovery.polls() > 0);
+        wait_until("the proxy polls discovery", || discovery.polls() > 0);
         discovery.apply_snapshot(&[ready("b", new_backend.address)]);
         proxy.wait_until_ready();
         let response = send_request(&proxy, &request("read", 8000));
         assert_eq!(
             response.body, b"new",
-            "a new client is served by the new backend"
+            "the new backend did not serve the new client"
         );
         let open = proxy.open_descriptors();
         assert!(
             open <= limits.enforced,
-            "{open} open descriptors of {}",
+            "{open} open descriptors exceed the limit of {}",
             limits.enforced
         );
         stopped.store(true, Ordering::SeqCst);
@@ -190,13 +190,16 @@
     });
     assert!(
         max_open <= DESCRIPTOR_LIMIT,
-        "{max_open} open descriptors of {DESCRIPTOR_LIMIT}"
+        "{max_open} open descriptors exceed the limit of {DESCRIPTOR_LIMIT}"
     );
     opener.open();
     drop(idle);
     for client in waiting.iter_mut().chain([&mut last]) {
         let status = client.read_status();
-        assert!(status.is_some_and(|status| status != 502), "{status:?}");
+        assert!(
+            status.is_some_and(|status| status != 502),
+            "a client with a pending request got the status {status:?}"
+        );
     }
     assert!(proxy.wait_for_exit().success());
 }
--- a/crates/proxy/tests/endpoint_updates.rs
+++ b/crates/proxy/tests/endpoint_updates.rs
@@ -62,7 +62,7 @@
     discovery.apply_delta(&[draining("a", address)]);
     let counter = backend.into_byte_counter(TEST_TIMEOUT);
     assert_eq!(client.read_status(), Some(503));
-    assert_eq!(counter.finish(), 0);
+    assert_eq!(counter.finish(), 0, "bytes sent to the draining backend");
 }
 
 #[test]
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -6,7 +6,7 @@
 use support::*;
 
 #[test]
-fn a_request_and_its_response_are_forwarded_unchanged() {
+fn a_request_is_forwarded_with_less_time_left_and_its_response_unchanged() {
     let backend = FakeBackend::responding_ok("the answer");
     let (proxy, _discovery) = start_proxy_with(&[("a", &backend)]);
     let sent = request("vote", 7000);
@@ -26,7 +26,7 @@
     let time_left: u64 = time_left.parse().unwrap();
     assert!(
         time_left < 7000,
-        "the time left is counted down: {time_left}"
+        "the time left was not counted down: {time_left}"
     );
 }
 
@@ -61,8 +61,9 @@
     assert_eq!(backend.request_count(), 30);
 }
 
-/// The request itself is invalid, so that every backend would reject it. The response is forwarded,
-/// the request is not retried, and the error does not count against the backend.
+/// The request itself is invalid, so every backend would answer it with the same error. The
+/// response is forwarded, the request is not retried, and the error does not count against the
+/// backend.
 #[test]
 fn a_client_error_of_a_backend_is_forwarded_without_a_retry() {
     let backend = FakeBackend::start(|request| match request.header("x-bad") {
@@ -112,7 +113,10 @@
         assert!(matches!(status, 502 | 503), "{status}");
     }
     let log = proxy.log();
-    assert!(!log.contains("did not respond to request"), "{log}");
+    assert!(
+        !log.contains("did not respond to request"),
+        "the proxy used its fallback: {log}"
+    );
 }
 
 /// While no backend is ready, the balancer queues a request as long as it could still be answered
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -146,21 +146,21 @@
     proxy.terminate();
     wait_until_not_ready(&proxy);
     late.send(&request("pay", 8000));
-    assert!(unused.wait_for_close(), "the unused connection is closed");
+    assert!(unused.wait_for_close(), "the unused connection stays open");
     let unused_closed_after = start.elapsed();
     assert_eq!(
         late.read_status(),
         Some(502),
-        "the request may have been executed"
+        "the response does not say that the request may have been executed"
     );
     let late_answered_after = start.elapsed();
     assert!(
         late_answered_after < Duration::from_millis(3700),
-        "{late_answered_after:?}"
+        "the request after SIGTERM was answered only after {late_answered_after:?}"
     );
     assert!(
         unused_closed_after < Duration::from_millis(1500),
-        "{unused_closed_after:?}"
+        "the unused connection was closed only after {unused_closed_after:?}"
     );
     assert!(proxy.wait_for_exit().success());
 }
--- a/crates/proxy/tests/held_up_process.rs
+++ b/crates/proxy/tests/held_up_process.rs
@@ -30,10 +30,11 @@
         let config = proxy_config_without_deadlines(&discovery, &endpoints);
         let proxy = ProxyProcess::start(&config);
         assert_reads_succeed(&proxy, 4);
-        // Until the held request is answered, the balancer checks its attempt in every tick.
+        // The backend does not respond to this request until the gate opens. Until then, the
+        // balancer checks its attempt in every tick.
         let held_request = request("read", 8_000).replace("/a?", "/held?");
         let _held_client = Client::connect_and_send(proxy.address, &held_request);
-        wait_until("the request is sent", || {
+        wait_until("the held request is sent", || {
             backends
                 .iter()
                 .map(FakeBackend::request_count)
@@ -47,7 +48,11 @@
         statuses.push(client.read_status());
         opener.open();
     }
-    assert_eq!(statuses, [Some(200); PAUSE_COUNT]);
+    assert_eq!(
+        statuses,
+        [Some(200); PAUSE_COUNT],
+        "a request that arrived during a pause was not served"
+    );
 }
 
 /// Starts a backend that does not respond to requests for `/held` until the gate opens.
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -51,7 +51,7 @@
     assert_eq!(
         client.read_status(),
         Some(503),
-        "the request was not executed, so the client may retry"
+        "the response does not say that the request was not executed and may be retried"
     );
     assert_eq!(other.request_count(), 0, "{status}");
 }
@@ -80,7 +80,11 @@
     discovery.apply_snapshot(&[draining("a", a.address), ready("b", b.address)]);
     let response = send_request(&proxy, &request("read", 7000));
     assert_eq!(response.body, b"b", "{discovery_mode}");
-    assert_eq!(a.request_count(), 0);
+    assert_eq!(
+        a.request_count(),
+        0,
+        "requests to the draining backend: {discovery_mode}"
+    );
 }
 
 /// Backends remember an idempotency key for a limited time, the key's window. A retry must not be
@@ -111,11 +115,15 @@
     wait_until("the retry connects", || second.has_pending_connect());
     assert!(
         start.elapsed() < Duration::from_millis(1200),
-        "the retry must begin within the window"
+        "the retry began only after the window had ended"
     );
     wait_until("the window has ended", || {
         start.elapsed() > Duration::from_millis(1250)
     });
-    assert_eq!(second.count_received_bytes(), 0);
+    assert_eq!(
+        second.count_received_bytes(),
+        0,
+        "bytes of the retry sent after the window"
+    );
     assert_eq!(client.read_status(), Some(502));
 }
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -51,7 +51,10 @@
 fn assert_ready_soon(proxy: &ProxyProcess, since: Instant, case: &str) {
     proxy.wait_until_ready();
     let elapsed = since.elapsed();
-    assert!(elapsed < MAX_STARTUP, "{case}: {elapsed:?}");
+    assert!(
+        elapsed < MAX_STARTUP,
+        "{case}: ready only after {elapsed:?}"
+    );
 }
 
 #[test]
@@ -120,7 +123,10 @@
             let start = Instant::now();
             let proxy = ProxyProcess::spawn(&config_with(discovery.address, mode, known));
             assert_ready_soon(&proxy, start, &case);
-            assert!(discovery.request_count() >= 3, "{case}");
+            assert!(
+                discovery.request_count() >= 3,
+                "{case}: ready before the third poll"
+            );
         }
     }
 }
@@ -150,10 +156,14 @@
     let too_long = indented_list(17_000, 8, backend.address);
     assert!(
         (7 << 20..MAX_LIST_BYTES).contains(&fitting.len()),
-        "{}",
+        "the list that must fit has {} bytes",
         fitting.len()
     );
-    assert!(too_long.len() > MAX_LIST_BYTES, "{}", too_long.len());
+    assert!(
+        too_long.len() > MAX_LIST_BYTES,
+        "the list that must be rejected has only {} bytes",
+        too_long.len()
+    );
     let discovery = FakeDiscovery::start();
     let known = KnownList::Given(Value::Null);
     let mut config = config_with(discovery.address, "automatic", known);
--- a/crates/proxy/tests/request_validation.rs
+++ b/crates/proxy/tests/request_validation.rs
@@ -15,9 +15,16 @@
         client.send(&(case.text.clone() + &request("read", 7000)));
         let excerpt = &case.text[..case.text.len().min(300)];
         assert_eq!(client.read_status(), Some(case.status), "{excerpt}");
-        assert!(client.wait_for_close(), "{excerpt}");
+        assert!(
+            client.wait_for_close(),
+            "the connection stays open after {excerpt}"
+        );
     }
-    assert_eq!(backend.request_count(), 0);
+    assert_eq!(
+        backend.request_count(),
+        0,
+        "an invalid request or the one after it was forwarded"
+    );
     // The largest time left, `u64::MAX` milliseconds, is valid.
     let response = send_request(&proxy, &request("read", u64::MAX));
     assert_eq!(response.status(), 200);
@@ -193,6 +200,6 @@
     assert_eq!(
         first.read_status(),
         Some(200),
-        "the id may be used again after its request is answered"
+        "the id was rejected although its first request has been answered"
     );
 }
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -124,7 +124,7 @@
         assert_eq!(outcome_of(reply, "pay"), FAILED_WITHOUT_RETRY, "{excerpt}");
         assert!(
             start.elapsed() < Duration::from_secs(6),
-            "the attempt must fail before the deadline: {excerpt}"
+            "the attempts did not fail well before the deadline: {excerpt}"
         );
     }
     // A long series of 1xx responses without a final response.
