--- a/crates/balancer/tests/slow_start_fleet/main.rs
+++ b/crates/balancer/tests/slow_start_fleet/main.rs
@@ -191,15 +191,16 @@
         restarted_backend_concurrency: 3.0,
         ..Scenario::default()
     };
-    assert_no_overload("start of the whole fleet", all_restart);
-    assert_no_overload("start of the whole fleet, all attempts rejected", || {
-        Scenario {
+    assert_no_overload("start of all proxies and backends", all_restart);
+    assert_no_overload(
+        "start of all proxies and backends, all attempts rejected",
+        || Scenario {
             backend_count: 20,
             restarted_backends: 20,
             restarted_backend_concurrency: 0.0,
             ..all_restart()
-        }
-    });
+        },
+    );
 }
 
 #[test]
--- a/crates/balancer/tests/slow_start_fleet/scenario.rs
+++ b/crates/balancer/tests/slow_start_fleet/scenario.rs
@@ -1,5 +1,5 @@
-//! The input of a simulation: a fleet, its traffic, and a fault after which backends are in slow
-//! start.
+//! The input of a simulation: proxies and backends, their traffic, and a fault after which backends
+//! are in slow start.
 
 use brookstack_balancer::*;
 
@@ -16,7 +16,7 @@
 /// The least traffic of a proxy, as a multiple of the mean over all proxies.
 const MIN_TRAFFIC: f64 = 0.05;
 
-/// A fleet, its traffic, and a fault in which backends restart.
+/// Proxies and backends, their traffic, and a fault in which backends restart.
 ///
 /// The endpoint list begins with the backends that restart, followed by the removed and then the
 /// faulty ones.
--- a/crates/balancer/tests/zone_aware_routing.rs
+++ b/crates/balancer/tests/zone_aware_routing.rs
@@ -1,6 +1,6 @@
 //! Zone-aware routing. If traffic to other zones has a cost, it stays in the proxy's own zone as
-//! far as that zone's share of the backends allows. An idle fleet serves every request and uses
-//! every backend, whichever zones the endpoint list names.
+//! far as that zone's share of the backends allows. If all backends are idle, every request is
+//! served and every backend is used, whichever zones the endpoint list names.
 
 mod common;
 use brookstack_balancer::*;
@@ -81,30 +81,35 @@
     );
 }
 
-/// The result of the requests to an idle fleet.
-struct IdleFleetResult {
+/// The result of requests that are sent while all backends are idle.
+struct IdleBackendsResult {
     /// Number of requests that were not dispatched.
     rejected: usize,
     /// Number of requests that each backend received.
     received: Vec<usize>,
 }
 
-/// Number of requests sent to an idle fleet.
-const IDLE_FLEET_REQUESTS: usize = 320;
+/// Number of requests that [`serve_with_idle_backends`] sends.
+const REQUEST_COUNT: usize = 320;
 
-/// Sends requests one after the other to an idle fleet. `zones` gives the zone of each backend.
-fn serve_idle_fleet(proxy_count: u32, zone_count: u32, zones: &[u32]) -> IdleFleetResult {
+/// Sends requests one after the other, so that all backends are idle when a request arrives.
+/// `zones` gives the zone of each backend.
+fn serve_with_idle_backends(
+    proxy_count: u32,
+    zone_count: u32,
+    zones: &[u32],
+) -> IdleBackendsResult {
     let endpoints = (0..)
         .zip(zones)
         .map(|(id, zone)| backend(id, *zone, 0))
         .collect();
     let config = zone_config(proxy_count, zone_count, CROSS_ZONE_COST);
     let mut host = TestHost::with_seed(config, 7, endpoints);
-    let mut result = IdleFleetResult {
+    let mut result = IdleBackendsResult {
         rejected: 0,
         received: vec![0; zones.len()],
     };
-    for _ in 0..IDLE_FLEET_REQUESTS {
+    for _ in 0..REQUEST_COUNT {
         let request = host.send_request(CLIENT_TIMEOUT);
         host.advance(millis(10));
         match host.backends_of(request).first() {
@@ -125,8 +130,8 @@
         30 * zone_count,
         30 * zone_count + 1,
     ] {
-        let IdleFleetResult { rejected, received } =
-            serve_idle_fleet(proxy_count, zone_count, zones);
+        let IdleBackendsResult { rejected, received } =
+            serve_with_idle_backends(proxy_count, zone_count, zones);
         let case = format!(
             "{proxy_count} proxies, {zone_count} zones configured, backends in {zones:?}: \
              {received:?}"
@@ -136,7 +141,7 @@
             received.iter().all(|count| *count > 0),
             "a backend received no request: {case}"
         );
-        let mean = IDLE_FLEET_REQUESTS as f64 / zones.len() as f64;
+        let mean = REQUEST_COUNT as f64 / zones.len() as f64;
         let most = received.iter().max().copied().unwrap_or(0) as f64;
         assert!(
             most <= mean + 4.0 * mean.sqrt(),
@@ -195,7 +200,8 @@
     // receives its share; the proxy sends all other traffic to the other zone.
     let zones: Vec<u32> = (0..16).map(|id| u32::from(id > 0)).collect();
     for proxy_count in [4, 5, 60, 61] {
-        let IdleFleetResult { rejected, received } = serve_idle_fleet(proxy_count, 2, &zones);
+        let IdleBackendsResult { rejected, received } =
+            serve_with_idle_backends(proxy_count, 2, &zones);
         assert_eq!(
             rejected, 0,
             "requests were rejected: {proxy_count} proxies, {received:?}"
--- a/crates/proxy/tests/races.rs
+++ b/crates/proxy/tests/races.rs
@@ -57,7 +57,7 @@
 }
 
 /// Discovery is down when the proxy starts, and a backend starts draining during the outage. When
-/// discovery is back, the proxy must learn of the drain on its own, whether lists are pushed or
+/// discovery is back, the proxy must poll again and learn of the drain, whether lists are pushed or
 /// polled, before it sends a single request to the backend.
 #[test]
 fn a_drain_during_a_discovery_outage_takes_effect_when_discovery_returns() {
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -146,8 +146,8 @@
     })
 }
 
-/// With a memory limit of 64 MB, the proxy accepts the complete list of a large fleet with long
-/// names and indentation. It rejects a list that would take a larger part of the memory.
+/// With a memory limit of 64 MB, the proxy accepts an indented list of 17,000 backends with long
+/// names. It rejects a list that would take a larger part of the memory.
 #[test]
 fn a_long_endpoint_list_fits_into_the_memory_limit_and_a_longer_one_is_rejected() {
     const MAX_LIST_BYTES: usize = 8 << 20;
