--- a/crates/balancer/tests/slow_start_fleet/scenario.rs
+++ b/crates/balancer/tests/slow_start_fleet/scenario.rs
@@ -1,5 +1,5 @@
-//! The input of a simulation: a fleet, its traffic, and a fault after which backends are in slow
-//! start.
+//! The input of a simulation: proxies and backends, their traffic, and a fault after which backends
+//! are in slow start.
 
 use brookstack_balancer::*;
 
@@ -16,7 +16,7 @@
 /// The least traffic of a proxy, as a multiple of the mean over all proxies.
 const MIN_TRAFFIC: f64 = 0.05;
 
-/// A fleet, its traffic, and a fault in which backends restart.
+/// Proxies and backends, their traffic, and a fault in which backends restart.
 ///
 /// The endpoint list begins with the backends that restart, followed by the removed and then the
 /// faulty ones.
@@ -130,7 +130,7 @@
 
     /// A proxy's traffic as a multiple of the mean over all proxies. Unless all proxies have the
     /// same traffic, one in ten is among the busiest, one in three has the least traffic, and the
-    /// others share the rest.
+    /// others share the remaining traffic.
     fn relative_traffic(&self, proxy: usize) -> f64 {
         if self.busiest_proxy_traffic <= 1.0 {
             return 1.0;
--- a/crates/balancer/tests/zone_aware_routing.rs
+++ b/crates/balancer/tests/zone_aware_routing.rs
@@ -1,6 +1,6 @@
 //! Zone-aware routing. If traffic to other zones has a cost, it stays in the proxy's own zone as
-//! far as that zone's share of the backends allows. An idle fleet serves every request and uses
-//! every backend, whichever zones the endpoint list names.
+//! far as that zone's share of the backends allows. If all backends are idle, every request is
+//! served and every backend is used, whichever zones the endpoint list names.
 
 mod common;
 use brookstack_balancer::*;
@@ -81,30 +81,35 @@
     );
 }
 
-/// The result of the requests to an idle fleet.
-struct IdleFleetResult {
+/// The result of requests that are sent while all backends are idle.
+struct IdleBackendsResult {
     /// Number of requests that were not dispatched.
     rejected: usize,
     /// Number of requests that each backend received.
     received: Vec<usize>,
 }
 
-/// Number of requests sent to an idle fleet.
-const IDLE_FLEET_REQUESTS: usize = 320;
+/// Number of requests that [`serve_with_idle_backends`] sends.
+const REQUEST_COUNT: usize = 320;
 
-/// Sends requests one after the other to an idle fleet. `zones` gives the zone of each backend.
-fn serve_idle_fleet(proxy_count: u32, zone_count: u32, zones: &[u32]) -> IdleFleetResult {
+/// Sends requests one after the other, so that all backends are idle when a request arrives.
+/// `zones` gives the zone of each backend.
+fn serve_with_idle_backends(
+    proxy_count: u32,
+    zone_count: u32,
+    zones: &[u32],
+) -> IdleBackendsResult {
     let endpoints = (0..)
         .zip(zones)
         .map(|(id, zone)| backend(id, *zone, 0))
         .collect();
     let config = zone_config(proxy_count, zone_count, CROSS_ZONE_COST);
     let mut host = TestHost::with_seed(config, 7, endpoints);
-    let mut result = IdleFleetResult {
+    let mut result = IdleBackendsResult {
         rejected: 0,
         received: vec![0; zones.len()],
     };
-    for _ in 0..IDLE_FLEET_REQUESTS {
+    for _ in 0..REQUEST_COUNT {
         let request = host.send_request(CLIENT_TIMEOUT);
         host.advance(millis(10));
         match host.backends_of(request).first() {
@@ -125,17 +130,23 @@
         30 * zone_count,
         30 * zone_count + 1,
     ] {
-        let IdleFleetResult { rejected, received } =
-            serve_idle_fleet(proxy_count, zone_count, zones);
+        let IdleBackendsResult { rejected, received } =
+            serve_with_idle_backends(proxy_count, zone_count, zones);
         let case = format!(
             "{proxy_count} proxies, {zone_count} zones configured, backends in {zones:?}: \
              {received:?}"
         );
-        assert_eq!(rejected, 0, "{case}");
-        assert!(received.iter().all(|count| *count > 0), "{case}");
-        let mean = IDLE_FLEET_REQUESTS as f64 / zones.len() as f64;
+        assert_eq!(rejected, 0, "requests were rejected: {case}");
+        assert!(
+            received.iter().all(|count| *count > 0),
+            "a backend received no request: {case}"
+        );
+        let mean = REQUEST_COUNT as f64 / zones.len() as f64;
         let most = received.iter().max().copied().unwrap_or(0) as f64;
-        assert!(most <= mean + 4.0 * mean.sqrt(), "{case}");
+        assert!(
+            most <= mean + 4.0 * mean.sqrt(),
+            "a backend received too many requests: {case}"
+        );
     }
 }
 
@@ -185,15 +196,19 @@
 
 #[test]
 fn an_own_zone_with_one_backend_takes_its_share_and_causes_no_rejections() {
-    // The endpoint list has the configured zones. A proxy in a tiny zone sends that zone its share
-    // and the rest of its traffic to the other zone.
+    // The endpoint list has the two configured zones. The proxy's own zone has one backend, which
+    // receives its share; the proxy sends all other traffic to the other zone.
     let zones: Vec<u32> = (0..16).map(|id| u32::from(id > 0)).collect();
     for proxy_count in [4, 5, 60, 61] {
-        let IdleFleetResult { rejected, received } = serve_idle_fleet(proxy_count, 2, &zones);
-        assert_eq!(rejected, 0, "{proxy_count} proxies: {received:?}");
+        let IdleBackendsResult { rejected, received } =
+            serve_with_idle_backends(proxy_count, 2, &zones);
+        assert_eq!(
+            rejected, 0,
+            "requests were rejected: {proxy_count} proxies, {received:?}"
+        );
         assert!(
             received.iter().all(|count| *count > 0),
-            "{proxy_count} proxies: {received:?}"
+            "a backend received no request: {proxy_count} proxies, {received:?}"
         );
         // Half of the proxies are in the zone with one of sixteen backends, so that backend
         // receives twice its even share of their traffic.
@@ -201,7 +216,7 @@
         let own_zone = received[0];
         assert!(
             !zones_have_equal_proxies || (20..=60).contains(&own_zone),
-            "{proxy_count} proxies: {received:?}"
+            "the own zone received {own_zone}: {proxy_count} proxies, {received:?}"
         );
     }
 }
