--- a/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
+++ b/crates/fleet-simulator/src/simulated/proxy/request_counts.rs
@@ -1,4 +1,4 @@
-//! The number of requests by outcome.
+//! Counts what happened to the requests of simulated proxies.
 
 use serde::Serialize;
 
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -201,8 +201,7 @@
         if self.pending.disconnect(request) {
             self.balancer.report(Event::ClientDisconnected { request });
             let now = self.clock.now();
-            self.pending
-                .abort_unsent_attempts(request, now, &mut self.balancer);
+            self.pending.settle(request, now, &mut self.balancer);
         }
     }
 
@@ -228,8 +227,7 @@
             .report(attempt.finished(now, &result, settled));
         if settled {
             let now = self.clock.now();
-            self.pending
-                .abort_unsent_attempts(id.request, now, &mut self.balancer);
+            self.pending.settle(id.request, now, &mut self.balancer);
         }
     }
 
--- a/crates/proxy/src/driver/pending_requests.rs
+++ b/crates/proxy/src/driver/pending_requests.rs
@@ -157,8 +157,8 @@
         pending.is_some_and(|pending| pending.reply.take().is_some())
     }
 
-    /// Sends the final response to a request if the client still waits for it, and aborts the
-    /// request's attempts that are not completely sent.
+    /// Sends the final response to a request if the client still waits for it, and settles the
+    /// request.
     pub fn respond(
         &mut self,
         request: RequestId,
@@ -169,19 +169,15 @@
         if let Some(pending) = self.requests.get_mut(&request) {
             pending.respond(response);
         }
-        self.abort_unsent_attempts(request, now, balancer);
+        self.settle(request, now, balancer);
     }
 
-    /// Aborts the attempts of a settled request that are not completely sent, even if the
-    /// configuration does not allow attempts to be cancelled, because a backend starts to execute a
-    /// request only when it gets the last byte. The balancer decides whether to cancel the other
-    /// attempts. A request without attempts in flight is marked for removal.
-    pub fn abort_unsent_attempts(
-        &mut self,
-        request: RequestId,
-        now: Time,
-        balancer: &mut BalancerHost,
-    ) {
+    /// Settles a request, whose client no longer waits for a response. Aborts the attempts that are
+    /// not completely sent, even if the configuration does not allow attempts to be cancelled,
+    /// because a backend starts to execute a request only when it gets the last byte. The balancer
+    /// decides whether to cancel the other attempts. A request without attempts in flight is marked
+    /// for removal.
+    pub fn settle(&mut self, request: RequestId, now: Time, balancer: &mut BalancerHost) {
         let Some(pending) = self.requests.get_mut(&request) else {
             return;
         };
